--- a/lab/bench/balancefleet.cpp
+++ b/lab/bench/balancefleet.cpp
@@ -391,7 +391,7 @@
 SimulatedEngine *Simulation::chooseNaively(SimulatedRouter &router, const Turn &turn)
 {
     const PoolLoad load = this->loadSeen(router);
-    const Choice choice{hash64(std::to_string(turn.chat)), this->settings.boundPercent};
+    const PolicyRequest choice{hash64(std::to_string(turn.chat)), this->settings.boundPercent};
     std::optional<std::size_t> chosen;
     if (this->chooser == Chooser::Naive) {
         chosen = router.naive->choose(load, choice);
--- a/sequoiausher/cli/targetchoice.cpp
+++ b/sequoiausher/cli/targetchoice.cpp
@@ -120,7 +120,7 @@
     choice.isByPrefix = decision.policy == PolicyKind::PrefixRendezvous && keys.prefixHash != 0;
     choice.order = orderOf(targets, load, choice.isByPrefix ? keys.prefixHash : keys.chatHash);
     if (decision.policy != PolicyKind::RoundRobin && decision.policy != PolicyKind::TwoChoices) {
-        const Choice request{keys.chatHash, percent, std::nullopt, false, keys.prefixHash};
+        const PolicyRequest request{keys.chatHash, percent, std::nullopt, false, keys.prefixHash};
         const auto index = makePolicy(decision.policy, 0)->choose(load, request);
         choice.chosen = index ? std::optional(load.targets[*index].target.value) : std::nullopt;
     }
--- a/sequoiausher/coordination/admission/admissionpropertytest.cpp
+++ b/sequoiausher/coordination/admission/admissionpropertytest.cpp
@@ -453,7 +453,7 @@
     std::uint64_t excess = 0;
     for (int i = 0; i < 5000; ++i) {
         const std::size_t router = random() % own.size();
-        const std::size_t target = policies[router]->choose(own[router], Choice{random(), percent}).value();
+        const std::size_t target = policies[router]->choose(own[router], PolicyRequest{random(), percent}).value();
         const std::uint64_t bound = loadBound(percent, running.size(), truth.size());
         truth[target] += 1;
         own[router].targets[target].inFlight += 1;
--- a/sequoiausher/coordination/admission/localplacement.cpp
+++ b/sequoiausher/coordination/admission/localplacement.cpp
@@ -133,7 +133,7 @@
     if (!policy) {
         policy = makePolicy(wanted.policy, this->d->seed);
     }
-    const Choice choice{wanted.chatHash, wanted.boundPercent, std::nullopt, false, wanted.prefixHash};
+    const PolicyRequest choice{wanted.chatHash, wanted.boundPercent, std::nullopt, false, wanted.prefixHash};
     const std::optional<std::size_t> chosen = policy->choose(load, choice);
     return chosen ? std::optional(load.targets[*chosen].target) : std::nullopt;
 }
--- a/sequoiausher/coordination/admission/shardowner.cpp
+++ b/sequoiausher/coordination/admission/shardowner.cpp
@@ -271,7 +271,7 @@
     }
     this->refreshLoad(now);
     this->applyLimits(message);
-    Choice choice{message.chatHash, message.boundPercent, std::nullopt, false, message.prefixHash};
+    PolicyRequest choice{message.chatHash, message.boundPercent, std::nullopt, false, message.prefixHash};
     if (const TargetId *last = this->chats.find(message.chatHash)) {
         const auto index = this->cellOf.find(*last);
         choice.last = index == this->cellOf.end() ? std::nullopt : std::optional(index->second);
--- a/sequoiausher/coordination/gateway/targetboard.cpp
+++ b/sequoiausher/coordination/gateway/targetboard.cpp
@@ -361,7 +361,7 @@
     // A part that several hold and none takes is in heavy use: by its hash all gateways would fill one more target.
     const bool isHeavilyUsed = !holder && sharesRoom && usableAmong(criteria.holders, load) >= holdersOfHeavyUse;
     const std::uint64_t place = isHeavilyUsed ? criteria.requestHash : criteria.partHash;
-    const Choice choice{place, criteria.boundPercent, holder, false, criteria.firstPartHash};
+    const PolicyRequest choice{place, criteria.boundPercent, holder, false, criteria.firstPartHash};
     // A part that nobody holds yet is read by the first one who gets it, and gateways hear of that late: until then
     // they agree on a target only if they go by the hash alone.
     const bool isUnread = sharesRoom && criteria.holders.empty();
--- a/sequoiausher/coordination/policies/policy.cpp
+++ b/sequoiausher/coordination/policies/policy.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-using Index = std::optional<std::size_t>;
+using OptionalIndex = std::optional<std::size_t>;
 
 /** The usable target that comes first by isBetter(a, b). */
 template<typename Better>
-Index best(const PoolLoad &load, const Better &isBetter)
+OptionalIndex findBest(const PoolLoad &load, const Better &isBetter)
 {
-    Index chosen;
+    OptionalIndex chosen;
     for (std::size_t i = 0; i < load.targets.size(); ++i) {
         if (load.targets[i].usable && (!chosen || isBetter(load.targets[i], load.targets[*chosen]))) {
             chosen = i;
@@ -27,12 +27,12 @@
     return chosen;
 }
 
-std::uint64_t boundOf(const PoolLoad &load, const Choice &choice)
+std::uint64_t effectiveBound(const PoolLoad &load, const PolicyRequest &request)
 {
-    return std::max(loadBound(choice.boundPercent, load.total, load.counted), load.lowestBound);
+    return std::max(loadBound(request.boundPercent, load.total, load.counted), load.lowestBound);
 }
 
-bool mayTake(const TargetLoad &target, std::uint64_t bound)
+bool canAccept(const TargetLoad &target, std::uint64_t bound)
 {
     return target.usable && target.inFlight < bound;
 }
@@ -41,7 +41,7 @@
 class RoundRobinPolicy : public Policy
 {
 public:
-    Index choose(const PoolLoad &load, const Choice & /*choice*/) override
+    OptionalIndex choose(const PoolLoad &load, const PolicyRequest & /*request*/) override
     {
         for (std::size_t step = 0; step < load.targets.size(); ++step) {
             const std::size_t index = this->next++ % load.targets.size();
@@ -60,10 +60,10 @@
 class RendezvousPolicy : public Policy
 {
 public:
-    Index choose(const PoolLoad &load, const Choice &choice) override
+    OptionalIndex choose(const PoolLoad &load, const PolicyRequest &request) override
     {
-        return best(load, [&choice](const TargetLoad &a, const TargetLoad &b) {
-            return rendezvousWeight(a.hash, choice.chatHash) > rendezvousWeight(b.hash, choice.chatHash);
+        return findBest(load, [&request](const TargetLoad &a, const TargetLoad &b) {
+            return rendezvousWeight(a.hash, request.chatHash) > rendezvousWeight(b.hash, request.chatHash);
         });
     }
 };
@@ -76,19 +76,19 @@
 class BoundedRendezvousPolicy : public Policy
 {
 public:
-    Index choose(const PoolLoad &load, const Choice &choice) override
+    OptionalIndex choose(const PoolLoad &load, const PolicyRequest &request) override
     {
-        const std::uint64_t bound = boundOf(load, choice);
-        if (choice.last && mayTake(load.targets[*choice.last], bound)) {
-            return choice.last;
+        const std::uint64_t bound = effectiveBound(load, request);
+        if (request.last && canAccept(load.targets[*request.last], bound)) {
+            return request.last;
         }
         Ranked first;
         Ranked second;
         for (std::size_t i = 0; i < load.targets.size(); ++i) {
-            if (!mayTake(load.targets[i], bound)) {
+            if (!canAccept(load.targets[i], bound)) {
                 continue;
             }
-            const std::uint64_t weight = rendezvousWeight(load.targets[i].hash, choice.chatHash);
+            const std::uint64_t weight = rendezvousWeight(load.targets[i].hash, request.chatHash);
             if (!first.index || weight > first.weight) {
                 second = std::exchange(first, Ranked{i, weight});
             } else if (!second.index || weight > second.weight) {
@@ -96,7 +96,7 @@
             }
         }
         // A new chat has nothing to lose at its second target, and leaves room for those that return to the first.
-        if (choice.isNew && second.index
+        if (request.isNew && second.index
             && load.targets[*second.index].inFlight < load.targets[*first.index].inFlight) {
             return second.index;
         }
@@ -106,7 +106,7 @@
 private:
     struct Ranked
     {
-        Index index;
+        OptionalIndex index;
         std::uint64_t weight = 0;
     };
 };
@@ -120,20 +120,20 @@
 class RoomRendezvousPolicy : public Policy
 {
 public:
-    Index choose(const PoolLoad &load, const Choice &choice) override
+    OptionalIndex choose(const PoolLoad &load, const PolicyRequest &request) override
     {
-        const std::uint64_t bound = boundOf(load, choice);
-        if (choice.last && mayTake(load.targets[*choice.last], bound)) {
-            return choice.last;
+        const std::uint64_t bound = effectiveBound(load, request);
+        if (request.last && canAccept(load.targets[*request.last], bound)) {
+            return request.last;
         }
-        Index chosen;
+        OptionalIndex chosen;
         double least = 0;
         for (std::size_t i = 0; i < load.targets.size(); ++i) {
             const TargetLoad &target = load.targets[i];
-            if (!mayTake(target, bound)) {
+            if (!canAccept(target, bound)) {
                 continue;
             }
-            const double draw = unitDraw(rendezvousWeight(target.hash, choice.chatHash));
+            const double draw = unitDraw(rendezvousWeight(target.hash, request.chatHash));
             const double distance = -std::log(draw) / static_cast<double>(bound - target.inFlight);
             if (!chosen || distance < least) {
                 chosen = i;
@@ -153,23 +153,23 @@
 class PrefixRendezvousPolicy : public Policy
 {
 public:
-    Index choose(const PoolLoad &load, const Choice &choice) override
+    OptionalIndex choose(const PoolLoad &load, const PolicyRequest &request) override
     {
-        const std::uint64_t bound = boundOf(load, choice);
-        if (choice.last && mayTake(load.targets[*choice.last], bound)) {
-            return choice.last;
+        const std::uint64_t bound = effectiveBound(load, request);
+        if (request.last && canAccept(load.targets[*request.last], bound)) {
+            return request.last;
         }
-        Index least;
-        std::size_t width = firstWidth;
-        std::size_t seen = 0;
-        for (const std::size_t index : orderOf(load, choice)) {
-            if (seen == width && least && hasHeadroom(load, *least, choice.boundPercent)) {
+        OptionalIndex least;
+        std::size_t candidateCount = initialCandidateCount;
+        std::size_t examined = 0;
+        for (const std::size_t index : rankTargets(load, request)) {
+            if (examined == candidateCount && least && hasHeadroom(load, *least, request.boundPercent)) {
                 return least;
             }
-            width = seen == width ? width * 2 : width;
-            seen += 1;
+            candidateCount = examined == candidateCount ? candidateCount * 2 : candidateCount;
+            examined += 1;
             const bool isLess = !least || load.targets[index].inFlight < load.targets[*least].inFlight;
-            if (isLess && mayTake(load.targets[index], bound)) {
+            if (isLess && canAccept(load.targets[index], bound)) {
                 least = index;
             }
         }
@@ -177,16 +177,16 @@
     }
 
 private:
-    static constexpr std::size_t firstWidth = 2;
+    static constexpr std::size_t initialCandidateCount = 2;
 
-    static std::vector<std::size_t> orderOf(const PoolLoad &load, const Choice &choice)
+    static std::vector<std::size_t> rankTargets(const PoolLoad &load, const PolicyRequest &request)
     {
         std::vector<std::uint64_t> hashes;
         hashes.reserve(load.targets.size());
         for (const TargetLoad &target : load.targets) {
             hashes.push_back(target.hash);
         }
-        const std::uint64_t key = choice.prefixHash != 0 ? choice.prefixHash : choice.chatHash;
+        const std::uint64_t key = request.prefixHash != 0 ? request.prefixHash : request.chatHash;
         return rendezvousOrder(hashes, key, hashes.size());
     }
 
@@ -210,7 +210,7 @@
     {
     }
 
-    Index choose(const PoolLoad &load, const Choice & /*choice*/) override
+    OptionalIndex choose(const PoolLoad &load, const PolicyRequest & /*request*/) override
     {
         std::vector<std::size_t> usable;
         for (std::size_t i = 0; i < load.targets.size(); ++i) {
@@ -234,13 +234,13 @@
 class LeastLoadedPolicy : public Policy
 {
 public:
-    Index choose(const PoolLoad &load, const Choice &choice) override
+    OptionalIndex choose(const PoolLoad &load, const PolicyRequest &request) override
     {
-        return best(load, [&choice](const TargetLoad &a, const TargetLoad &b) {
+        return findBest(load, [&request](const TargetLoad &a, const TargetLoad &b) {
             if (a.inFlight != b.inFlight) {
                 return a.inFlight < b.inFlight;
             }
-            return rendezvousWeight(a.hash, choice.chatHash) > rendezvousWeight(b.hash, choice.chatHash);
+            return rendezvousWeight(a.hash, request.chatHash) > rendezvousWeight(b.hash, request.chatHash);
         });
     }
 };
--- a/sequoiausher/coordination/policies/policy.h
+++ b/sequoiausher/coordination/policies/policy.h
@@ -4,7 +4,7 @@
 // runs the same policy over whatever a router alone would know.
 //
 //     const std::unique_ptr<Policy> policy = makePolicy(PolicyKind::BoundedRendezvous, seed);
-//     const std::optional<std::size_t> chosen = policy->choose(load, Choice{chatHash, 125});
+//     const std::optional<std::size_t> chosen = policy->choose(load, PolicyRequest{chatHash, 125});
 
 #include "sequoiausher/coordination/messages/admissionmessages.h"
 
@@ -41,7 +41,7 @@
 };
 
 /** For whom to choose. */
-struct Choice
+struct PolicyRequest
 {
     std::uint64_t chatHash = 0;
     std::uint32_t boundPercent = 125;
@@ -63,7 +63,7 @@
     virtual ~Policy() = default;
 
     /** The index of a usable target, or none where there is none that the policy accepts. */
-    virtual std::optional<std::size_t> choose(const PoolLoad &load, const Choice &choice) = 0;
+    virtual std::optional<std::size_t> choose(const PoolLoad &load, const PolicyRequest &request) = 0;
 };
 
 /** @param seed of the generator for policies that draw at random. */
--- a/sequoiausher/coordination/policies/policytest.cpp
+++ b/sequoiausher/coordination/policies/policytest.cpp
@@ -46,11 +46,11 @@
         load.targets[0].usable = false;
         load.targets[2].usable = false;
         for (std::uint64_t chat = 0; chat < 20; ++chat) {
-            CHECK(policy->choose(load, Choice{chat, 125}) == 1);
+            CHECK(policy->choose(load, PolicyRequest{chat, 125}) == 1);
         }
         load.targets[1].usable = false;
-        CHECK_FALSE(policy->choose(load, Choice{1, 125}).has_value());
-        CHECK_FALSE(policy->choose(PoolLoad{}, Choice{1, 125}).has_value());
+        CHECK_FALSE(policy->choose(load, PolicyRequest{1, 125}).has_value());
+        CHECK_FALSE(policy->choose(PoolLoad{}, PolicyRequest{1, 125}).has_value());
     }
 }
 
@@ -60,17 +60,17 @@
     const auto plain = makePolicy(PolicyKind::Rendezvous, 1);
     for (std::uint64_t chat = 0; chat < 100; ++chat) {
         PoolLoad load = poolOf({4, 4, 4, 4});
-        const Choice choice{hash64(std::to_string(chat)), 125};
-        const std::size_t first = plain->choose(load, choice).value();
-        CHECK(bounded->choose(load, choice) == first);
+        const PolicyRequest request{hash64(std::to_string(chat)), 125};
+        const std::size_t first = plain->choose(load, request).value();
+        CHECK(bounded->choose(load, request) == first);
         const std::size_t other = (first + 1) % load.targets.size();
-        CHECK(bounded->choose(load, Choice{choice.chatHash, 125, other}) == other);
+        CHECK(bounded->choose(load, PolicyRequest{request.chatHash, 125, other}) == other);
         load.targets[first].inFlight = 6;
-        CHECK(bounded->choose(load, Choice{choice.chatHash, 125, first}) != first);
-        CHECK(plain->choose(load, choice) == first);
-        const std::size_t second = bounded->choose(load, choice).value();
+        CHECK(bounded->choose(load, PolicyRequest{request.chatHash, 125, first}) != first);
+        CHECK(plain->choose(load, request) == first);
+        const std::size_t second = bounded->choose(load, request).value();
         load.targets[first].usable = false;
-        CHECK(plain->choose(load, choice) == second);
+        CHECK(plain->choose(load, request) == second);
     }
 }
 
@@ -81,7 +81,8 @@
         const auto targetsOf = [&](const PoolLoad &load) {
             std::set<std::size_t> used;
             for (std::uint64_t chat = 0; chat < 50; ++chat) {
-                used.insert(policy->choose(load, Choice{hash64(std::to_string(chat)), 125, {}, true, prefix}).value());
+                used.insert(
+                    policy->choose(load, PolicyRequest{hash64(std::to_string(chat)), 125, {}, true, prefix}).value());
             }
             return used;
         };
@@ -110,9 +111,9 @@
     const auto policy = makePolicy(PolicyKind::PrefixRendezvous, 1);
     PoolLoad load = poolOf({10, 10, 10, 12, 10, 10, 10, 10});
     for (std::uint64_t prefix = 0; prefix < 20; ++prefix) {
-        CHECK(policy->choose(load, Choice{7, 125, 3, false, prefix}) == 3);
+        CHECK(policy->choose(load, PolicyRequest{7, 125, 3, false, prefix}) == 3);
         load.targets[3].inFlight = 13;
-        CHECK(policy->choose(load, Choice{7, 125, 3, false, prefix}) != 3);
+        CHECK(policy->choose(load, PolicyRequest{7, 125, 3, false, prefix}) != 3);
         load.targets[3].inFlight = 12;
     }
 }
@@ -122,7 +123,8 @@
     const auto policy = makePolicy(PolicyKind::PrefixRendezvous, 1);
     const PoolLoad load = poolOf({4, 4, 4, 4});
     for (std::uint64_t chat = 1; chat < 50; ++chat) {
-        CHECK(policy->choose(load, Choice{chat, 125}) == policy->choose(load, Choice{99, 125, {}, true, chat}));
+        CHECK(policy->choose(load, PolicyRequest{chat, 125})
+              == policy->choose(load, PolicyRequest{99, 125, {}, true, chat}));
     }
 }
 
@@ -136,18 +138,19 @@
             for (TargetLoad &target : load.targets) {
                 target.usable = *rc::gen::inRange(0, 4) > 0;
             }
-            Choice choice{*rc::gen::arbitrary<std::uint64_t>(), *rc::gen::inRange(90U, 300U), {}, false, 0};
-            choice.prefixHash = *rc::gen::arbitrary<std::uint64_t>();
-            choice.isNew = *rc::gen::arbitrary<bool>();
+            PolicyRequest request{*rc::gen::arbitrary<std::uint64_t>(), *rc::gen::inRange(90U, 300U), {}, false, 0};
+            request.prefixHash = *rc::gen::arbitrary<std::uint64_t>();
+            request.isNew = *rc::gen::arbitrary<bool>();
             if (!load.targets.empty() && *rc::gen::arbitrary<bool>()) {
-                choice.last = *rc::gen::inRange(std::size_t{0}, load.targets.size());
+                request.last = *rc::gen::inRange(std::size_t{0}, load.targets.size());
             }
-            const std::uint64_t bound = loadBound(choice.boundPercent, load.total, load.counted);
-            const auto mayTake = [bound](const TargetLoad &target) { return target.usable && target.inFlight < bound; };
-            const auto chosen = makePolicy(kind, 1)->choose(load, choice);
-            RC_ASSERT(chosen.has_value() == std::any_of(load.targets.begin(), load.targets.end(), mayTake));
+            const std::uint64_t bound = loadBound(request.boundPercent, load.total, load.counted);
+            const auto canAccept
+                = [bound](const TargetLoad &target) { return target.usable && target.inFlight < bound; };
+            const auto chosen = makePolicy(kind, 1)->choose(load, request);
+            RC_ASSERT(chosen.has_value() == std::any_of(load.targets.begin(), load.targets.end(), canAccept));
             if (chosen) {
-                RC_ASSERT(mayTake(load.targets[*chosen]));
+                RC_ASSERT(canAccept(load.targets[*chosen]));
             }
         }));
     }
@@ -164,9 +167,9 @@
     load.lowestBound = 10;
     std::map<std::size_t, int> counts;
     for (std::uint64_t chat = 1; chat <= 1200; ++chat) {
-        const auto chosen = policy->choose(load, Choice{hash64(std::to_string(chat)), 100});
+        const auto chosen = policy->choose(load, PolicyRequest{hash64(std::to_string(chat)), 100});
         REQUIRE(chosen);
-        CHECK(policy->choose(load, Choice{hash64(std::to_string(chat)), 100}) == chosen);
+        CHECK(policy->choose(load, PolicyRequest{hash64(std::to_string(chat)), 100}) == chosen);
         counts[*chosen] += 1;
     }
     // Rooms of 1, 3, 9 and none, in 13.
@@ -181,18 +184,18 @@
 TEST_CASE("least loaded goes by counts, two choices by reports, round robin by turn")
 {
     PoolLoad load = poolOf({5, 1, 3});
-    CHECK(makePolicy(PolicyKind::LeastLoaded, 1)->choose(load, Choice{7, 125}) == 1);
+    CHECK(makePolicy(PolicyKind::LeastLoaded, 1)->choose(load, PolicyRequest{7, 125}) == 1);
     load.targets[0].reported = 0;
     int wins = 0;
     const auto two = makePolicy(PolicyKind::TwoChoices, 1);
     for (int i = 0; i < 900; ++i) {
-        wins += two->choose(load, Choice{}) == std::size_t{0} ? 1 : 0;
+        wins += two->choose(load, PolicyRequest{}) == std::size_t{0} ? 1 : 0;
     }
     // The lowest of three wins unless it is not drawn: 1 - (2/3)^2 = 5/9.
     CHECK(wins > 450);
     CHECK(wins < 550);
     const auto turns = makePolicy(PolicyKind::RoundRobin, 1);
     for (std::size_t i = 0; i < 6; ++i) {
-        CHECK(turns->choose(load, Choice{}) == i % 3);
+        CHECK(turns->choose(load, PolicyRequest{}) == i % 3);
     }
 }
