--- a/sequoiausher/coordination/policies/policy.cpp
+++ b/sequoiausher/coordination/policies/policy.cpp
@@ -14,7 +14,7 @@
 
 using OptionalIndex = std::optional<std::size_t>;
 
-/** The usable target that comes first by isBetter(a, b). */
+/** Returns the usable target that is best by isBetter(a, b). */
 template<typename Better>
 OptionalIndex findBest(const PoolLoad &load, const Better &isBetter)
 {
@@ -37,7 +37,7 @@
     return target.usable && target.inFlight < bound;
 }
 
-/** One after the other, whoever asks. */
+/** Chooses the usable targets in turn. */
 class RoundRobinPolicy : public Policy
 {
 public:
@@ -56,7 +56,7 @@
     std::size_t next = 0;
 };
 
-/** Always the chat's own target, however loaded. */
+/** Chooses the chat's first target by rendezvous hashing, whatever its load. */
 class RendezvousPolicy : public Policy
 {
 public:
@@ -69,9 +69,9 @@
 };
 
 /**
- * The target of the chat's last turn, which has the longest prefix cached; else the first in the chat's order, or for
- * a new chat the less loaded of its first two. Only those below the bound, so overflow finds the same second choice
- * each time.
+ * Chooses among the targets below the load bound. The target of the chat's previous turn comes first, since it has the
+ * longest prefix cached. Otherwise a known chat goes to its first target by rendezvous hashing, and a new chat to the
+ * less loaded of its first two. Since the order is fixed, a chat's overflow always goes to the same second target.
  */
 class BoundedRendezvousPolicy : public Policy
 {
@@ -95,7 +95,8 @@
                 second = Ranked{i, weight};
             }
         }
-        // A new chat has nothing to lose at its second target, and leaves room for those that return to the first.
+        // A new chat has no cached prefix to lose, so its second target serves it as well as the first. The first one
+        // keeps room for returning chats.
         if (request.isNew && second.index
             && load.targets[*second.index].inFlight < load.targets[*first.index].inFlight) {
             return second.index;
@@ -112,10 +113,11 @@
 };
 
 /**
- * The target of the chat's last turn, which has the longest prefix cached; else by rendezvous in proportion to the room
- * below the bound. Where most targets are near the bound, the few that have room are the first below it for nearly all
- * chats, and many routers with late counts would fill them together, past the bound.
- * Source: Schindelhauer and Schomaker, "Weighted Distributed Hash Tables", 2005.
+ * Chooses the target of the chat's previous turn, which has the longest prefix cached, while it is below the load
+ * bound. Otherwise uses rendezvous hashing weighted by the room of each target below the bound. Without weights, when
+ * most targets are near the bound, the few with room would be the first choice of nearly all chats, and many routers
+ * with outdated counts would together fill them past the bound. Source: Schindelhauer and Schomaker, "Weighted
+ * Distributed Hash Tables", 2005.
  */
 class RoomRendezvousPolicy : public Policy
 {
@@ -145,10 +147,13 @@
 };
 
 /**
- * The target of the chat's last turn, which has the longest prefix cached; else the least loaded of the first two in
- * the order of the prefix that the chat shares, of the first four where those two carry more than a little above the
- * mean, and so on. So few targets hold each shared prefix, a prefix in heavy use spreads over as many as it needs, and
- * the room up to the bound is left to chats that return. Without a prefix, the chat's own order stands for it.
+ * Chooses the target of the chat's previous turn, which has the longest prefix cached, while it is below the load
+ * bound. Otherwise ranks the targets by rendezvous hashing of the prefix that the chat shares with others, or of the
+ * chat if it shares none, and chooses the least loaded of the first two. If that target is loaded more than a little
+ * above the mean (see hasHeadroom()), it considers the first four, then eight, and so on.
+ *
+ * Each shared prefix is thus cached by few targets, a prefix in heavy use spreads over as many as it needs, and the
+ * room up to the bound is left to returning chats.
  */
 class PrefixRendezvousPolicy : public Policy
 {
@@ -190,7 +195,7 @@
         return rendezvousOrder(hashes, key, hashes.size());
     }
 
-    /** Below two fifths of the way from the mean to the bound, found by measurement (docs/design/balance.md). */
+    /** Whether the target's load is below two fifths of the way from the mean to the bound (docs/design/balance.md). */
     static bool hasHeadroom(const PoolLoad &load, std::size_t index, std::uint32_t boundPercent)
     {
         const std::uint64_t percent
@@ -200,7 +205,7 @@
 };
 
 /**
- * The lower of two drawn at random, by what they last reported.
+ * Draws two usable targets at random and chooses the one that reported the lower load.
  * Source: Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001.
  */
 class TwoChoicesPolicy : public Policy
@@ -230,7 +235,7 @@
     std::mt19937_64 generator;
 };
 
-/** The one with the fewest in flight; equal ones in the chat's order. */
+/** Chooses the target with the fewest requests in flight; ties are broken by rendezvous hashing of the chat. */
 class LeastLoadedPolicy : public Policy
 {
 public:
@@ -257,7 +262,8 @@
     case PolicyKind::TwoChoices:
         return std::make_unique<TwoChoicesPolicy>(seed);
     case PolicyKind::LeastLoaded:
-    // Who chooses counts what it expects to be in flight; where counts are exact, that is what is.
+    // Both kinds choose by the caller's count. With LeastExpected the caller counts the requests that it expects to be
+    // in flight; where counts are exact, this is the number that is in flight.
     case PolicyKind::LeastExpected:
         return std::make_unique<LeastLoadedPolicy>();
     case PolicyKind::PrefixRendezvous:
--- a/sequoiausher/coordination/policies/policy.h
+++ b/sequoiausher/coordination/policies/policy.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// How a target is chosen among those that may be used. The owner of a shard runs a policy over exact counts; a bench
-// runs the same policy over whatever a router alone would know.
+// Load balancing policies: each chooses one of the usable targets of a pool for a request. The owner of a shard applies
+// a policy to exact counts; a benchmark applies the same policy to the counts that a single router would have.
 //
 //     const std::unique_ptr<Policy> policy = makePolicy(PolicyKind::BoundedRendezvous, seed);
 //     const std::optional<std::size_t> chosen = policy->choose(load, PolicyRequest{chatHash, 125});
@@ -14,46 +14,46 @@
 
 namespace Sequoiausher {
 
-/** One target as a policy sees it. */
+/** The load of one target. */
 struct TargetLoad
 {
     TargetId target;
-    /** hash64 of the name. */
+    /** hash64 of the target's name. */
     std::uint64_t hash = 0;
-    /** What the caller counts in flight on it. */
+    /** The number of requests in flight on the target by the caller's count. */
     std::uint32_t inFlight = 0;
-    /** What the target last said itself, late; the count where it says nothing. */
+    /** The load that the target last reported, which lags behind; the caller's count if the target reports none. */
     std::uint32_t reported = 0;
-    /** Whether it may be chosen at all. */
+    /** Whether the policy may choose the target. */
     bool usable = true;
 };
 
-/** The targets to choose from. */
+/** The targets of a pool and their loads. */
 struct PoolLoad
 {
     std::vector<TargetLoad> targets;
-    /** What is in flight on all targets that the mean is taken over. */
+    /** The number of requests in flight on the targets that count for the mean. */
     std::uint64_t total = 0;
-    /** How many targets the mean is taken over. */
+    /** The number of targets that count for the mean. */
     std::uint64_t counted = 0;
-    /** No bound is taken below this one: for a total that may lag behind what is in flight on the targets. */
+    /** The minimum of the load bound, for a total that may lag behind the requests in flight on the targets. */
     std::uint64_t lowestBound = 0;
 };
 
-/** For whom to choose. */
+/** The properties of a request that a policy uses. */
 struct PolicyRequest
 {
     std::uint64_t chatHash = 0;
     std::uint32_t boundPercent = 125;
-    /** The index of the target that had the chat's last turn, where known. */
+    /** The index of the target that answered the chat's previous turn, if known. */
     std::optional<std::size_t> last = std::nullopt;
-    /** The chat is surely new, so that nothing of it is cached anywhere. */
+    /** Whether the chat is certainly new, so that no target has any of it cached. */
     bool isNew = false;
-    /** Of the prompt prefix that the chat shares with others; 0 where none is known. */
+    /** The hash of the prompt prefix that the chat shares with others; 0 if none is known. */
     std::uint64_t prefixHash = 0;
 };
 
-/** A way of choosing. */
+/** Chooses targets for requests. */
 class Policy
 {
 public:
@@ -62,11 +62,11 @@
     Policy &operator=(const Policy &) = delete;
     virtual ~Policy() = default;
 
-    /** The index of a usable target, or none where there is none that the policy accepts. */
+    /** Returns the index of a usable target, or std::nullopt if the policy accepts none. */
     virtual std::optional<std::size_t> choose(const PoolLoad &load, const PolicyRequest &request) = 0;
 };
 
-/** @param seed of the generator for policies that draw at random. */
+/** @param seed the seed of the random generator of policies that have one. */
 std::unique_ptr<Policy> makePolicy(PolicyKind kind, std::uint64_t seed);
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/policies/policytest.cpp
+++ b/sequoiausher/coordination/policies/policytest.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("the bound is the set multiple of the mean, rounded up")
+TEST_CASE("the bound is the configured multiple of the mean, rounded up")
 {
     CHECK(loadBound(125, 99, 10) == 13);
     CHECK(loadBound(125, 0, 12) == 1);
@@ -37,7 +37,7 @@
     CHECK(strictLoadBound(125, 100, 10) == 12);
 }
 
-TEST_CASE("every policy skips what is not usable, and says so where nothing is")
+TEST_CASE("every policy skips unusable targets, and returns none if no target is usable")
 {
     for (const auto &entry : nameTable<PolicyKind>) {
         CAPTURE(entry.name);
@@ -54,7 +54,7 @@
     }
 }
 
-TEST_CASE("a chat's overflow goes to its second choice, as if the first were not there")
+TEST_CASE("a chat's overflow goes to the target that it would have without the first one")
 {
     const auto bounded = makePolicy(PolicyKind::BoundedRendezvous, 1);
     const auto plain = makePolicy(PolicyKind::Rendezvous, 1);
@@ -74,7 +74,7 @@
     }
 }
 
-TEST_CASE("chats of one prefix share few targets, and more of them where these carry more than the others")
+TEST_CASE("chats with the same prefix share few targets, and more if these are loaded more than the others")
 {
     const auto policy = makePolicy(PolicyKind::PrefixRendezvous, 1);
     for (std::uint64_t prefix = 1; prefix <= 20; ++prefix) {
@@ -95,7 +95,8 @@
         CHECK_FALSE(second.contains(first));
         load.targets[*second.begin()].inFlight = 12;
         load.total += 1;
-        // Both are below the bound of 13, the first below the limit of 110 % for new chats too, so it is taken again.
+        // Both are below the bound of 13, but only the first is below the limit of 110 % for new chats, so it is
+        // chosen.
         CHECK(targetsOf(load) == std::set<std::size_t>{first});
         load.targets[first].inFlight = 12;
         load.total += 1;
@@ -106,7 +107,7 @@
     }
 }
 
-TEST_CASE("a chat returns to its last target, whatever its prefix, while that is below the bound")
+TEST_CASE("a chat returns to its last target, whatever its prefix, while that target is below the bound")
 {
     const auto policy = makePolicy(PolicyKind::PrefixRendezvous, 1);
     PoolLoad load = poolOf({10, 10, 10, 12, 10, 10, 10, 10});
@@ -118,7 +119,7 @@
     }
 }
 
-TEST_CASE("without a prefix, the chat's own order stands for it")
+TEST_CASE("a chat without a prefix uses the target order of the chat")
 {
     const auto policy = makePolicy(PolicyKind::PrefixRendezvous, 1);
     const PoolLoad load = poolOf({4, 4, 4, 4});
@@ -128,7 +129,7 @@
     }
 }
 
-TEST_CASE("a bounded policy takes only a target below the bound, and one wherever there is one")
+TEST_CASE("a bounded policy chooses a target below the bound whenever there is one, and no other")
 {
     for (const PolicyKind kind :
          {PolicyKind::BoundedRendezvous, PolicyKind::PrefixRendezvous, PolicyKind::RoomRendezvous}) {
@@ -156,11 +157,11 @@
     }
 }
 
-// Symptom: empty targets that joined a loaded pool held more than twice the mean within half a second.
-// Events: the others are at or near the bound, so the overflow of all chats looks for a target below it, at many
-// routers whose counts are late. Cause: each chat's first target below the bound took its overflow, with little room or
-// much.
-TEST_CASE("overflow goes to targets in proportion to their room, and a chat's to the same one")
+// Guards against overloading empty targets that join a loaded pool: they had more than twice the mean load within half
+// a second. The other targets are at or near the bound, so many routers with outdated counts look for a target below it
+// at the same time. It failed when each chat's overflow went to its first target below the bound, however little room
+// that target had.
+TEST_CASE("overflow goes to targets in proportion to their room, and each chat always to the same target")
 {
     const auto policy = makePolicy(PolicyKind::RoomRendezvous, 1);
     PoolLoad load = poolOf({9, 7, 1, 10});
@@ -172,7 +173,7 @@
         CHECK(policy->choose(load, PolicyRequest{hash64(std::to_string(chat)), 100}) == chosen);
         counts[*chosen] += 1;
     }
-    // Rooms of 1, 3, 9 and none, in 13.
+    // The targets have room for 1, 3, 9 and 0 requests, 13 in all.
     CHECK(counts[0] > 55);
     CHECK(counts[0] < 140);
     CHECK(counts[1] > 220);
@@ -181,7 +182,7 @@
     CHECK(counts[3] == 0);
 }
 
-TEST_CASE("least loaded goes by counts, two choices by reports, round robin by turn")
+TEST_CASE("least loaded uses counts, two choices uses reported loads, round robin takes turns")
 {
     PoolLoad load = poolOf({5, 1, 3});
     CHECK(makePolicy(PolicyKind::LeastLoaded, 1)->choose(load, PolicyRequest{7, 125}) == 1);
@@ -191,7 +192,7 @@
     for (int i = 0; i < 900; ++i) {
         wins += two->choose(load, PolicyRequest{}) == std::size_t{0} ? 1 : 0;
     }
-    // The lowest of three wins unless it is not drawn: 1 - (2/3)^2 = 5/9.
+    // The target with the lowest load is chosen if it is drawn, with a probability of 1 - (2/3)^2 = 5/9.
     CHECK(wins > 450);
     CHECK(wins < 550);
     const auto turns = makePolicy(PolicyKind::RoundRobin, 1);
