--- a/sequoiausher/coordination/rules/condition.cpp
+++ b/sequoiausher/coordination/rules/condition.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-constexpr std::int64_t largest = 1000000000000;
+constexpr std::int64_t maxNumber = 1000000000000;
 constexpr std::int64_t minutesPerHour = 60;
 constexpr std::int64_t minutesPerDay = 24 * minutesPerHour;
 constexpr std::int64_t msPerMinute = 60000;
-constexpr std::size_t maximumAlternatives = 256;
+constexpr std::size_t maxAlternativesPerKey = 256;
 
 constexpr std::string_view whenPrefix = "when.";
 constexpr std::string_view headerPrefix = "when.header.";
@@ -56,41 +56,41 @@
     return kind == ConditionKind::Header || std::find(textKinds.begin(), textKinds.end(), kind) != textKinds.end();
 }
 
-NumberRange wholeRange(ConditionKind kind)
+NumberRange fullRange(ConditionKind kind)
 {
     if (kind == ConditionKind::ChatShare) {
-        return {0, static_cast<std::int64_t>(chatShares) - 1};
+        return {0, static_cast<std::int64_t>(chatShareCount) - 1};
     }
     if (kind == ConditionKind::TimeOfDay) {
         return {0, minutesPerDay - 1};
     }
-    return {0, largest};
+    return {0, maxNumber};
 }
 
-std::optional<NumberRange> parseRange(std::string_view text, const NumberRange &whole)
+std::optional<NumberRange> parseRange(std::string_view text, const NumberRange &bounds)
 {
-    const auto number = [&whole](std::string_view digits) {
+    const auto number = [&bounds](std::string_view digits) {
         const std::size_t first = std::min(digits.find_first_not_of(' '), digits.size());
-        return parseInteger(digits.substr(first), {whole.first, whole.last, ""});
+        return parseInteger(digits.substr(first), {bounds.first, bounds.last, ""});
     };
-    const auto range = [&whole](std::optional<std::int64_t> first, std::optional<std::int64_t> last) {
-        const bool good = first && last && *first <= *last && *first >= whole.first && *last <= whole.last;
+    const auto range = [&bounds](std::optional<std::int64_t> first, std::optional<std::int64_t> last) {
+        const bool good = first && last && *first <= *last && *first >= bounds.first && *last <= bounds.last;
         return good ? std::optional(NumberRange{*first, *last}) : std::nullopt;
     };
     const auto plus = [](std::optional<std::int64_t> value, std::int64_t step) {
         return value ? std::optional(*value + step) : std::nullopt;
     };
     if (text.starts_with("<=")) {
-        return range(whole.first, number(text.substr(2)));
+        return range(bounds.first, number(text.substr(2)));
     }
     if (text.starts_with(">=")) {
-        return range(number(text.substr(2)), whole.last);
+        return range(number(text.substr(2)), bounds.last);
     }
     if (text.starts_with("<")) {
-        return range(whole.first, plus(number(text.substr(1)), -1));
+        return range(bounds.first, plus(number(text.substr(1)), -1));
     }
     if (text.starts_with(">")) {
-        return range(plus(number(text.substr(1)), 1), whole.last);
+        return range(plus(number(text.substr(1)), 1), bounds.last);
     }
     const std::size_t dash = text.find('-');
     if (dash == std::string_view::npos) {
@@ -116,7 +116,7 @@
 }
 
 /** HH:MM-HH:MM, the end not in it; over midnight where the end comes first. Empty where text is wrong. */
-std::vector<NumberRange> parseTimes(std::string_view text)
+std::vector<NumberRange> parseTimeRanges(std::string_view text)
 {
     const std::size_t dash = text.find('-');
     if (dash == std::string_view::npos) {
@@ -138,7 +138,7 @@
 }
 
 /** Sorted, and joined where they touch. */
-std::vector<NumberRange> normalised(std::vector<NumberRange> ranges)
+std::vector<NumberRange> normaliseRanges(std::vector<NumberRange> ranges)
 {
     std::sort(ranges.begin(), ranges.end(), [](const NumberRange &one, const NumberRange &other) {
         return one.first < other.first;
@@ -159,16 +159,16 @@
     if (kind == ConditionKind::TimeOfDay) {
         return "HH:MM-HH:MM in UTC, or several, comma separated";
     }
-    const NumberRange whole = wholeRange(kind);
-    return "N, N-M, <N, <=N, >N or >=N of whole numbers from " + std::to_string(whole.first) + " to "
-        + std::to_string(whole.last) + ", or several, comma separated";
+    const NumberRange bounds = fullRange(kind);
+    return "N, N-M, <N, <=N, >N or >=N of whole numbers from " + std::to_string(bounds.first) + " to "
+        + std::to_string(bounds.last) + ", or several, comma separated";
 }
 
 /** Whether the alternatives are few and none is empty; else it is reported. */
 bool checkAlternatives(SectionReader &section, const IniEntry &entry, const std::vector<std::string> &parts)
 {
-    if (parts.size() > maximumAlternatives) {
-        section.report(entry, "at most " + std::to_string(maximumAlternatives) + " alternatives");
+    if (parts.size() > maxAlternativesPerKey) {
+        section.report(entry, "at most " + std::to_string(maxAlternativesPerKey) + " alternatives");
         return false;
     }
     if (std::any_of(parts.begin(), parts.end(), [](const std::string &part) { return part.empty(); })) {
@@ -210,7 +210,7 @@
                    std::vector<Condition> &conditions)
 {
     condition.key = entry.key;
-    condition.written = entry.value;
+    condition.writtenValue = entry.value;
     const std::vector<std::string> parts = splitList(entry.value);
     if (!checkAlternatives(section, entry, parts)) {
         return;
@@ -224,8 +224,8 @@
     for (const std::string &part : parts) {
         std::vector<NumberRange> ranges;
         if (condition.kind == ConditionKind::TimeOfDay) {
-            ranges = parseTimes(part);
-        } else if (const auto range = parseRange(part, wholeRange(condition.kind))) {
+            ranges = parseTimeRanges(part);
+        } else if (const auto range = parseRange(part, fullRange(condition.kind))) {
             ranges.push_back(*range);
         }
         if (ranges.empty()) {
@@ -234,11 +234,11 @@
         }
         condition.ranges.insert(condition.ranges.end(), ranges.begin(), ranges.end());
     }
-    condition.ranges = normalised(std::move(condition.ranges));
+    condition.ranges = normaliseRanges(std::move(condition.ranges));
     conditions.push_back(std::move(condition));
 }
 
-void readHeader(SectionReader &section, const IniEntry &entry, std::vector<Condition> &conditions)
+void readHeaderCondition(SectionReader &section, const IniEntry &entry, std::vector<Condition> &conditions)
 {
     Condition condition;
     condition.kind = ConditionKind::Header;
@@ -251,7 +251,7 @@
     readCondition(section, entry, std::move(condition), conditions);
 }
 
-void readPoolState(SectionReader &section, const IniEntry &entry, std::vector<Condition> &conditions)
+void readPoolCondition(SectionReader &section, const IniEntry &entry, std::vector<Condition> &conditions)
 {
     section.entry(entry.key);
     const std::size_t dot = entry.key.rfind('.');
@@ -269,7 +269,7 @@
 }
 
 /** nullptr where the request has no such text. */
-const std::string *textOf(const Condition &condition, const RequestFacts &facts)
+const std::string *findFactText(const Condition &condition, const RequestFacts &facts)
 {
     switch (condition.kind) {
     case ConditionKind::Organisation:
@@ -329,16 +329,16 @@
 }
 
 /** The text that the condition looks at, or none. */
-std::optional<std::string_view> viewOf(const Condition &condition, const RequestFacts &facts)
+std::optional<std::string_view> findConditionText(const Condition &condition, const RequestFacts &facts)
 {
     if (condition.kind == ConditionKind::Class) {
         return nameOf(facts.requestClass);
     }
-    const std::string *text = textOf(condition, facts);
+    const std::string *text = findFactText(condition, facts);
     return text == nullptr ? std::nullopt : std::optional<std::string_view>(*text);
 }
 
-bool matches(std::string_view pattern, std::string_view text)
+bool matchesPattern(std::string_view pattern, std::string_view text)
 {
     if (pattern.ends_with('*')) {
         return text.starts_with(pattern.substr(0, pattern.size() - 1));
@@ -351,14 +351,14 @@
     if (narrow.ends_with('*') && !wide.ends_with('*')) {
         return false;
     }
-    return matches(wide, narrow.ends_with('*') ? narrow.substr(0, narrow.size() - 1) : narrow);
+    return matchesPattern(wide, narrow.ends_with('*') ? narrow.substr(0, narrow.size() - 1) : narrow);
 }
 
 } // namespace
 
 std::uint64_t chatShareOf(std::uint64_t chatHash, std::string_view salt)
 {
-    return rendezvousWeight(hash64(salt), chatHash) % chatShares;
+    return rendezvousWeight(hash64(salt), chatHash) % chatShareCount;
 }
 
 std::uint64_t estimatedTokens(std::uint64_t promptBytes)
@@ -384,9 +384,9 @@
     std::for_each(numberKinds.begin(), numberKinds.end(), read);
     for (const IniEntry &entry : section.section().entries) {
         if (entry.key.starts_with(headerPrefix)) {
-            readHeader(section, entry, conditions);
+            readHeaderCondition(section, entry, conditions);
         } else if (entry.key.starts_with(poolPrefix)) {
-            readPoolState(section, entry, conditions);
+            readPoolCondition(section, entry, conditions);
         }
     }
     return conditions;
@@ -395,10 +395,10 @@
 bool holds(const Condition &condition, const RequestFacts &facts)
 {
     if (isText(condition.kind)) {
-        const std::optional<std::string_view> text = viewOf(condition, facts);
+        const std::optional<std::string_view> text = findConditionText(condition, facts);
         return text
             && std::any_of(condition.patterns.begin(), condition.patterns.end(), [&](const std::string &pattern) {
-                   return matches(pattern, *text);
+                   return matchesPattern(pattern, *text);
                });
     }
     const std::int64_t number = numberOf(condition, facts);
@@ -407,10 +407,10 @@
     });
 }
 
-std::string factText(const Condition &condition, const RequestFacts &facts)
+std::string describeFact(const Condition &condition, const RequestFacts &facts)
 {
     if (isText(condition.kind)) {
-        const std::optional<std::string_view> text = viewOf(condition, facts);
+        const std::optional<std::string_view> text = findConditionText(condition, facts);
         return text ? inQuotes(*text) : "none";
     }
     const std::int64_t number = numberOf(condition, facts);
@@ -429,7 +429,7 @@
     if (isText(condition.kind)) {
         return std::find(condition.patterns.begin(), condition.patterns.end(), "*") != condition.patterns.end();
     }
-    return condition.ranges == std::vector<NumberRange>{wholeRange(condition.kind)};
+    return condition.ranges == std::vector<NumberRange>{fullRange(condition.kind)};
 }
 
 bool covers(const Condition &wide, const Condition &narrow)
--- a/sequoiausher/coordination/rules/condition.h
+++ b/sequoiausher/coordination/rules/condition.h
@@ -73,11 +73,11 @@
     std::vector<NumberRange> ranges;
     /** Key and value as they were written, for explanations. */
     std::string key;
-    std::string written;
+    std::string writtenValue;
 };
 
 /** The parts in which shares of chats are counted. */
-inline constexpr std::uint64_t chatShares = 100;
+inline constexpr std::uint64_t chatShareCount = 100;
 
 /**
  * In which of the hundred parts a chat falls, the same on every router and for as long as the salt stays. Shares
@@ -95,7 +95,7 @@
 bool holds(const Condition &condition, const RequestFacts &facts);
 
 /** What facts say where the condition looks, as text. */
-std::string factText(const Condition &condition, const RequestFacts &facts);
+std::string describeFact(const Condition &condition, const RequestFacts &facts);
 
 /** Whether the condition is met by every request. */
 bool alwaysHolds(const Condition &condition);
--- a/sequoiausher/coordination/rules/ruleaction.cpp
+++ b/sequoiausher/coordination/rules/ruleaction.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-constexpr std::int64_t hourMs = 3600000;
-constexpr std::int64_t daySeconds = 86400;
-constexpr std::int64_t millionRequests = 1000000;
+constexpr std::int64_t msPerHour = 3600000;
+constexpr std::int64_t secondsPerDay = 86400;
+constexpr std::int64_t maxRequests = 1000000;
 constexpr std::int64_t statusForbidden = 403;
 constexpr std::int64_t statusNotFound = 404;
 constexpr std::int64_t statusTooMany = 429;
 constexpr std::int64_t statusUnavailable = 503;
 
-std::optional<std::uint32_t> number(SectionReader &section, std::string_view key, const IntegerRange &range)
+std::optional<std::uint32_t> readNumber(SectionReader &section, std::string_view key, const IntegerRange &range)
 {
     const std::optional<std::int64_t> value = section.integer(key, range);
     return value ? std::optional(static_cast<std::uint32_t>(*value)) : std::nullopt;
@@ -26,11 +26,11 @@
     Decision &decision = action.decision;
     decision.pool.value = section.plainName("then.pool").value_or("");
     decision.policy = section.name<PolicyKind>("then.policy").value_or(decision.policy);
-    decision.boundPercent = number(section, "then.bound_percent", {101, 1000, "percent of the mean load"});
-    action.priority = number(section, "then.priority", {0, 9, "0 first to 9 last"});
-    decision.deadline = section.duration("then.deadline_ms", {1, hourMs, ""});
+    decision.boundPercent = readNumber(section, "then.bound_percent", {101, 1000, "percent of the mean load"});
+    action.priority = readNumber(section, "then.priority", {0, 9, "0 first to 9 last"});
+    decision.deadline = section.duration("then.deadline_ms", {1, msPerHour, ""});
     decision.retry = section.name<RetryMode>("then.retry").value_or(decision.retry);
-    decision.retryBudgetPercent = number(section, "then.retry_budget_percent", {0, 100, "percent of requests"})
+    decision.retryBudgetPercent = readNumber(section, "then.retry_budget_percent", {0, 100, "percent of requests"})
                                       .value_or(decision.retryBudgetPercent);
     decision.claim = section.name<ClaimMode>("then.claim").value_or(decision.claim);
     decision.cacheMiss = section.name<CacheMiss>("then.cache_miss").value_or(decision.cacheMiss);
@@ -41,18 +41,18 @@
 
 void readLimits(SectionReader &section, RuleLimits &limits)
 {
-    limits.ratePerSecond = number(section, "then.rate_per_second", {1, millionRequests, "requests a second"});
-    limits.burst = number(section, "then.burst", {1, millionRequests, "requests"});
-    limits.inFlight = number(section, "then.in_flight", {1, millionRequests, "requests"});
-    limits.queueLength = number(section, "then.queue_length", {0, millionRequests, "requests"});
-    limits.queueTime = section.duration("then.queue_time_ms", {0, hourMs, ""});
+    limits.ratePerSecond = readNumber(section, "then.rate_per_second", {1, maxRequests, "requests a second"});
+    limits.burst = readNumber(section, "then.burst", {1, maxRequests, "requests"});
+    limits.inFlight = readNumber(section, "then.in_flight", {1, maxRequests, "requests"});
+    limits.queueLength = readNumber(section, "then.queue_length", {0, maxRequests, "requests"});
+    limits.queueTime = section.duration("then.queue_time_ms", {0, msPerHour, ""});
 }
 
 std::optional<Refusal> readRefusal(SectionReader &section)
 {
     Refusal refusal;
     refusal.text = section.text("then.refuse_text").value_or("refused by a rule of the operator");
-    refusal.retryAfterSeconds = number(section, "then.retry_after_s", {1, daySeconds, "seconds"});
+    refusal.retryAfterSeconds = readNumber(section, "then.retry_after_s", {1, secondsPerDay, "seconds"});
     const IniEntry *entry = section.entry("then.refuse");
     if (entry == nullptr) {
         return std::nullopt;
@@ -74,13 +74,13 @@
 }
 
 /** A rule that refuses has no use for anything else; one that routes has none for the refusal's keys. */
-void checkRefusalAlone(SectionReader &section, bool refuses)
+void checkRefusalKeys(SectionReader &section, bool refuses)
 {
     constexpr std::array<std::string_view, 3> refusalKeys{"then.refuse", "then.refuse_text", "then.retry_after_s"};
     for (const IniEntry &entry : section.section().entries) {
         const bool isRefusal = std::find(refusalKeys.begin(), refusalKeys.end(), entry.key) != refusalKeys.end();
-        const bool isTrial = entry.key == "then.experiment" || entry.key == "then.arm";
-        if (refuses && entry.key.starts_with("then.") && !isRefusal && !isTrial) {
+        const bool isExperiment = entry.key == "then.experiment" || entry.key == "then.arm";
+        if (refuses && entry.key.starts_with("then.") && !isRefusal && !isExperiment) {
             section.report(entry, "no such key beside then.refuse");
         }
         if (!refuses && isRefusal) {
@@ -89,7 +89,7 @@
     }
 }
 
-void checkTogether(SectionReader &section, const RuleAction &action)
+void checkCombinations(SectionReader &section, const RuleAction &action)
 {
     const Decision &decision = action.decision;
     const IniEntry *retry = section.entry("then.retry");
@@ -119,8 +119,8 @@
     readRouting(section, action);
     readLimits(section, action.decision.limits);
     action.decision.refusal = readRefusal(section);
-    checkRefusalAlone(section, action.decision.refusal.has_value());
-    checkTogether(section, action);
+    checkRefusalKeys(section, action.decision.refusal.has_value());
+    checkCombinations(section, action);
     if (!action.decision.refusal && section.entry("then.pool") == nullptr) {
         section.report("neither then.pool nor then.refuse", "one of them");
     }
--- a/sequoiausher/coordination/rules/rulelist.cpp
+++ b/sequoiausher/coordination/rules/rulelist.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-constexpr std::size_t maximumKeys = 64;
+constexpr std::size_t maxKeysPerRule = 64;
 // Unreachable rules are found by comparing every alternative of a rule with those of each later rule: at most half the
 // square of this number of comparisons. Without the bound, a document of 750 kB kept a router busy for half a minute:
 // its heartbeats would stop whenever such rules were published.
-constexpr std::size_t maximumAlternatives = 10000;
+constexpr std::size_t maxAlternativesPerDocument = 10000;
 
 /** Whether every request that meets later also meets earlier. */
-bool hides(const Rule &earlier, const Rule &later)
+bool shadows(const Rule &earlier, const Rule &later)
 {
     return std::all_of(earlier.conditions.begin(), earlier.conditions.end(), [&](const Condition &wide) {
         return alwaysHolds(wide)
@@ -27,11 +27,11 @@
     });
 }
 
-void warnOfHidden(const RuleList &list, Problems &problems)
+void warnOfUnreachableRules(const RuleList &list, Problems &problems)
 {
     for (std::size_t later = 0; later < list.rules.size(); ++later) {
         for (std::size_t earlier = 0; earlier < later; ++earlier) {
-            if (!hides(list.rules[earlier], list.rules[later])) {
+            if (!shadows(list.rules[earlier], list.rules[later])) {
                 continue;
             }
             Problem problem = problemOf(list, list.rules[later], Severity::Warning);
@@ -49,9 +49,9 @@
     Rule rule;
     rule.name = nameOfSection(section.section());
     rule.line = section.section().line;
-    if (section.section().entries.size() > maximumKeys) {
+    if (section.section().entries.size() > maxKeysPerRule) {
         section.report(std::to_string(section.section().entries.size()) + " keys",
-                       "at most " + std::to_string(maximumKeys));
+                       "at most " + std::to_string(maxKeysPerRule));
         return rule;
     }
     rule.action = parseAction(section);
@@ -78,22 +78,22 @@
 
 void reportTooMany(const RuleList &list,
                    std::size_t count,
-                   std::size_t most,
+                   std::size_t maximum,
                    const std::string &what,
                    Problems &problems)
 {
     Problem problem;
     problem.file = list.document;
     problem.found = std::to_string(count) + " " + what;
-    problem.expected = "at most " + std::to_string(most);
+    problem.expected = "at most " + std::to_string(maximum);
     addProblem(problems, std::move(problem));
 }
 
 /** Reports names that nobody published. */
-class NameCheck
+class NameChecker
 {
 public:
-    NameCheck(const RuleNames &known, Problems &target) : names(known), problems(target)
+    NameChecker(const RuleNames &known, Problems &target) : names(known), problems(target)
     {
     }
 
@@ -188,20 +188,20 @@
     for (SectionReader &section : sections) {
         list.rules.push_back(readRule(section, !list.organisation.empty()));
     }
-    list.takesEveryRequest = std::any_of(list.rules.begin(), list.rules.end(), [](const Rule &rule) {
+    list.matchesEveryRequest = std::any_of(list.rules.begin(), list.rules.end(), [](const Rule &rule) {
         return std::all_of(rule.conditions.begin(), rule.conditions.end(), alwaysHolds);
     });
-    if (alternativesOf(list) > maximumAlternatives) {
-        reportTooMany(list, alternativesOf(list), maximumAlternatives, "alternatives over all rules", problems);
+    if (alternativesOf(list) > maxAlternativesPerDocument) {
+        reportTooMany(list, alternativesOf(list), maxAlternativesPerDocument, "alternatives over all rules", problems);
         return list;
     }
-    warnOfHidden(list, problems);
+    warnOfUnreachableRules(list, problems);
     return list;
 }
 
 void checkNames(const RuleList &list, const RuleNames &names, Problems &problems)
 {
-    NameCheck(names, problems).check(list);
+    NameChecker(names, problems).check(list);
 }
 
 bool isRulesDocument(std::string_view name)
--- a/sequoiausher/coordination/rules/rulelist.h
+++ b/sequoiausher/coordination/rules/rulelist.h
@@ -53,7 +53,7 @@
     OrganisationId organisation;
     std::vector<Rule> rules;
     /** Some rule's conditions are met by every request, so the fleet's rules are never asked after these. */
-    bool takesEveryRequest = false;
+    bool matchesEveryRequest = false;
 };
 
 using RuleListPointer = std::shared_ptr<const RuleList>;
--- a/sequoiausher/coordination/rules/ruleset.cpp
+++ b/sequoiausher/coordination/rules/ruleset.cpp
@@ -40,8 +40,8 @@
     for (const Condition &condition : rule.conditions) {
         if (!holds(condition, facts)) {
             verdict.key = condition.key;
-            verdict.expected = condition.written;
-            verdict.found = factText(condition, facts);
+            verdict.expected = condition.writtenValue;
+            verdict.found = describeFact(condition, facts);
             return verdict;
         }
     }
@@ -66,7 +66,7 @@
         return lists;
     }
 
-    Decision complete(const RuleList &list, const Rule &rule, const RequestFacts &facts) const
+    Decision completeDecision(const RuleList &list, const Rule &rule, const RequestFacts &facts) const
     {
         Decision decision = rule.action.decision;
         decision.document = list.document;
@@ -76,11 +76,11 @@
     }
 
     /** A rule of the fleet for one organisation whose own document takes every request is never reached. */
-    void warnOfHiddenByOrganisation(Problems &problems) const
+    void warnOfUnreachableFleetRules(Problems &problems) const
     {
         for (const Rule &rule : this->fleet->rules) {
             for (const Condition &condition : rule.conditions) {
-                if (condition.kind == ConditionKind::Organisation && this->takesAll(condition.patterns)) {
+                if (condition.kind == ConditionKind::Organisation && this->allMatchEveryRequest(condition.patterns)) {
                     Problem problem = problemOf(*this->fleet, rule, Severity::Warning);
                     problem.key = condition.key;
                     problem.found
@@ -96,11 +96,11 @@
     std::unordered_map<OrganisationId, RuleListPointer> organisations;
 
 private:
-    bool takesAll(const std::vector<std::string> &names) const
+    bool allMatchEveryRequest(const std::vector<std::string> &names) const
     {
         return std::all_of(names.begin(), names.end(), [this](const std::string &name) {
             const auto own = this->organisations.find(OrganisationId{name});
-            return own != this->organisations.end() && own->second->takesEveryRequest;
+            return own != this->organisations.end() && own->second->matchesEveryRequest;
         });
     }
 };
@@ -116,7 +116,7 @@
     for (const RuleList *list : this->d->listsFor(facts.organisation)) {
         for (const Rule &rule : list->rules) {
             if (allHold(rule, facts)) {
-                return this->d->complete(*list, rule, facts);
+                return this->d->completeDecision(*list, rule, facts);
             }
         }
     }
@@ -130,7 +130,7 @@
         for (const Rule &rule : list->rules) {
             explanation.verdicts.push_back(verdictOf(*list, rule, facts));
             if (explanation.verdicts.back().decides) {
-                explanation.decision = this->d->complete(*list, rule, facts);
+                explanation.decision = this->d->completeDecision(*list, rule, facts);
                 return explanation;
             }
         }
@@ -157,7 +157,7 @@
             compiled->organisations.insert_or_assign(list->organisation, list);
         }
     }
-    compiled->warnOfHiddenByOrganisation(problems);
+    compiled->warnOfUnreachableFleetRules(problems);
     return std::shared_ptr<const RuleSet>(new RuleSet(std::move(compiled)));
 }
 
--- a/sequoiausher/coordination/rules/rulesettest.cpp
+++ b/sequoiausher/coordination/rules/rulesettest.cpp
@@ -46,7 +46,7 @@
     std::string pool;
 };
 
-std::string written(const NaiveRule &rule, std::size_t index)
+std::string toIniText(const NaiveRule &rule, std::size_t index)
 {
     std::string text = "[rule r" + std::to_string(index) + "]\n";
     text += rule.model.empty() ? "" : "when.model = " + rule.model + "\n";
@@ -395,7 +395,7 @@
         const auto count = *rc::gen::inRange<std::size_t>(0, 12);
         for (std::size_t i = 0; i < count; ++i) {
             naive.push_back(arbitraryRule(i));
-            body += written(naive.back(), i);
+            body += toIniText(naive.back(), i);
         }
         Problems problems;
         const auto rules = compileRules({fleet(body)}, std::nullopt, problems);
