--- a/sequoiausher/coordination/rules/condition.cpp
+++ b/sequoiausher/coordination/rules/condition.cpp
@@ -99,7 +99,7 @@
     return range(number(text.substr(0, dash)), number(text.substr(dash + 1)));
 }
 
-/** HH:MM as minutes since midnight; 24:00 is the day's end. */
+/** Parses HH:MM and returns the minutes since midnight; 24:00 is the end of the day. */
 std::optional<std::int64_t> parseTime(std::string_view text)
 {
     constexpr std::size_t length = 5;
@@ -115,7 +115,8 @@
     return *hour * minutesPerHour + *minute;
 }
 
-/** HH:MM-HH:MM, the end not in it; over midnight where the end comes first. Empty where text is wrong. */
+/** Parses HH:MM-HH:MM, exclusive of the end, which is on the next day if it is before the start. Empty if text is
+ * invalid. */
 std::vector<NumberRange> parseTimeRanges(std::string_view text)
 {
     const std::size_t dash = text.find('-');
@@ -137,7 +138,7 @@
     return ranges;
 }
 
-/** Sorted, and joined where they touch. */
+/** Sorts the ranges, and joins those that overlap or touch. */
 std::vector<NumberRange> normaliseRanges(std::vector<NumberRange> ranges)
 {
     std::sort(ranges.begin(), ranges.end(), [](const NumberRange &one, const NumberRange &other) {
@@ -164,7 +165,7 @@
         + std::to_string(bounds.last) + ", or several, comma separated";
 }
 
-/** Whether the alternatives are few and none is empty; else it is reported. */
+/** Reports too many or empty alternatives; true if there are none. */
 bool checkAlternatives(SectionReader &section, const IniEntry &entry, const std::vector<std::string> &parts)
 {
     if (parts.size() > maxAlternativesPerKey) {
@@ -268,7 +269,7 @@
     section.report(entry, "when.pool.POOL.targets, when.pool.POOL.in_flight or when.pool.POOL.in_flight_per_target");
 }
 
-/** nullptr where the request has no such text. */
+/** Returns the text that the condition tests, or nullptr if the request has none. Not for the request's class. */
 const std::string *findFactText(const Condition &condition, const RequestFacts &facts)
 {
     switch (condition.kind) {
@@ -328,7 +329,7 @@
     }
 }
 
-/** The text that the condition looks at, or none. */
+/** Returns the text that the condition tests, or std::nullopt if the request has none. */
 std::optional<std::string_view> findConditionText(const Condition &condition, const RequestFacts &facts)
 {
     if (condition.kind == ConditionKind::Class) {
--- a/sequoiausher/coordination/rules/condition.h
+++ b/sequoiausher/coordination/rules/condition.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// One condition of a rule: `when.KEY = VALUE`. Values are alternatives between commas; a text may end in '*' for any
-// rest, and a number may be N, N-M, <N, <=N, >N or >=N.
+// One condition of a rule: `when.KEY = VALUE`. VALUE is a comma-separated list of alternatives. A text that ends in '*'
+// matches any text with that prefix, and a number may be N, N-M, <N, <=N, >N or >=N.
 //
 //     std::vector<Condition> conditions = parseConditions(section, "salt");
 //     holds(conditions[0], facts);
@@ -17,7 +17,7 @@
 
 namespace Sequoiausher {
 
-/** What a condition looks at. */
+/** The property of the request or of a pool that a condition tests. */
 enum class ConditionKind {
     Organisation,
     Class,
@@ -34,7 +34,7 @@
     PoolInFlightPerTarget,
 };
 
-/** The keys; of headers and pools, the part that follows the name. */
+/** The keys without the prefix `when.`; for pools, the part after the pool's name. */
 template<>
 inline constexpr auto nameTable<ConditionKind> = std::to_array<NameEntry<ConditionKind>>({
     {ConditionKind::Organisation, "organisation"},
@@ -52,7 +52,7 @@
     {ConditionKind::PoolInFlightPerTarget, "in_flight_per_target"},
 });
 
-/** Both ends belong to it. */
+/** A range of numbers, inclusive of both ends. */
 struct NumberRange
 {
     std::int64_t first = 0;
@@ -61,46 +61,47 @@
     bool operator==(const NumberRange &) const = default;
 };
 
-/** One condition. */
+/** One condition, as read from a rule. */
 struct Condition
 {
     ConditionKind kind = ConditionKind::Path;
-    /** The header's or pool's name, or the salt of a share of chats. */
+    /** The name of the header or pool, or the salt for a share of chats; empty for the other kinds. */
     std::string qualifier;
-    /** Of a condition on a text: exact, or a prefix with '*' at its end. */
+    /** The alternatives of a condition on a text: exact texts, or prefixes followed by '*'. */
     std::vector<std::string> patterns;
-    /** Of a condition on a number: sorted, apart from each other. */
+    /** The alternatives of a condition on a number, sorted and disjoint. */
     std::vector<NumberRange> ranges;
-    /** Key and value as they were written, for explanations. */
+    /** The key and the value as written in the document, for explanations. */
     std::string key;
     std::string writtenValue;
 };
 
-/** The parts in which shares of chats are counted. */
+/** The number of shares that all chats are divided into. */
 inline constexpr std::uint64_t chatShareCount = 100;
 
 /**
- * In which of the hundred parts a chat falls, the same on every router and for as long as the salt stays. Shares
+ * Returns the share of a chat, from 0 to 99. It is the same on every router and changes only with the salt. Shares
  * under different salts are independent of each other.
  */
 std::uint64_t chatShareOf(std::uint64_t chatHash, std::string_view salt);
 
-/** The estimate used for prompt_tokens: four bytes make a token. */
+/** Returns the estimate used for prompt_tokens: one token per four bytes. */
 std::uint64_t estimatedTokens(std::uint64_t promptBytes);
 
-/** Reads every `when.` key of a rule's section. @param salt for chat_share where the rule has no when.chat_salt. */
+/** Reads every `when.` key of a rule's section. @param salt the salt for chat_share if the rule has no when.chat_salt.
+ */
 std::vector<Condition> parseConditions(SectionReader &section, const std::string &salt);
 
-/** Whether facts meet the condition. */
+/** Whether the request meets the condition. */
 bool holds(const Condition &condition, const RequestFacts &facts);
 
-/** What facts say where the condition looks, as text. */
+/** Returns the property of the request that the condition tests, as text. */
 std::string describeFact(const Condition &condition, const RequestFacts &facts);
 
-/** Whether the condition is met by every request. */
+/** Whether every request meets the condition. */
 bool alwaysHolds(const Condition &condition);
 
-/** Whether wide is met by every request that meets narrow; may miss some such pairs, never names a wrong one. */
+/** Whether every request that meets narrow also meets wide. May be false for some such pairs; true is always right. */
 bool covers(const Condition &wide, const Condition &narrow);
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/rules/decision.h
+++ b/sequoiausher/coordination/rules/decision.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What a rule says shall be done with a request: everything that the request's flow needs to know.
+// The decision of a rule about a request: all parameters for routing, limiting, retrying or refusing it.
 //
 //     const std::optional<Decision> decision = rules.decide(facts);
 //     if (decision && decision->refusal) { answer(decision->refusal->status, decision->refusal->text); }
@@ -16,14 +16,14 @@
 
 namespace Sequoiausher {
 
-/** When a request may be sent to a target once more. */
+/** When a request may be resent to another target. */
 enum class RetryMode {
     /** Never. */
     None,
-    /** Where the target surely never had it. */
+    /** If the target certainly did not run the request. */
     Safe,
-    /** Also where it may have run; only for a request without an idempotency key, which the rule's writer vouches for.
-     */
+    /** Also if the target may have run the request. Only for requests without an idempotency key; the author of the
+     * rule guarantees that running them twice is harmless. */
     Idempotent,
 };
 
@@ -34,13 +34,13 @@
     {RetryMode::Idempotent, "idempotent"},
 });
 
-/** What becomes of a request's idempotency key. */
+/** How a request's idempotency key is handled. */
 enum class ClaimMode {
-    /** It is ignored: requests of this kind may run more than once. */
+    /** The key is ignored: the request may run more than once. */
     None,
-    /** It is claimed where the caller gave one. */
+    /** The key is claimed if the request has one. */
     Optional,
-    /** A request without one is refused with 400. */
+    /** The key is claimed; a request without a key is refused with 400. */
     Required,
 };
 
@@ -51,11 +51,11 @@
     {ClaimMode::Required, "required"},
 });
 
-/** What a target does that has not cached a prompt's shared part while another one has. */
+/** What a target does if it has not cached the shared prefix of a prompt and another target has. */
 enum class CacheMiss {
-    /** It reads the prompt anew. */
+    /** The target processes the prefix itself. */
     Read,
-    /** It copies the part from the other one first, where the targets can do that. */
+    /** The target first copies the cached prefix from the other one, if the targets support this. */
     Copy,
 };
 
@@ -65,11 +65,11 @@
     {CacheMiss::Copy, "copy"},
 });
 
-/** What becomes of requests to a service that is asked for more than it can do in time. */
+/** What happens to requests to a service that gets more of them than it can answer in time. */
 enum class Overload {
-    /** Its targets queue them, and reject what their queues do not hold. */
+    /** The targets queue requests, and reject those that do not fit into their queues. */
     Queue,
-    /** As many are refused at once as it takes for the others to be answered in time. */
+    /** As many requests are refused immediately as needed for the others to be answered in time. */
     Shed,
 };
 
@@ -79,60 +79,61 @@
     {Overload::Shed, "shed"},
 });
 
-/** What an organisation may take of the pool through this rule; absent means no limit of its own. */
+/** The limits of an organisation for requests that match this rule. An absent limit does not apply. */
 struct RuleLimits
 {
-    /** Over the fleet as a whole. */
+    /** Requests per second over the whole fleet. */
     std::optional<std::uint32_t> ratePerSecond;
-    /** Requests at once on top of the rate, over the fleet; two seconds' worth where absent. */
+    /** Requests above the rate at one time, over the whole fleet; by default as many as the rate gives in two seconds.
+     */
     std::optional<std::uint32_t> burst;
-    /** In each router, like the queue before it. */
+    /** Requests in flight in each router. */
     std::optional<std::uint32_t> inFlight;
-    /** Those that wait for one of inFlight; of no effect without it. */
+    /** Requests in each router that may wait until fewer than inFlight are in flight; no effect without inFlight. */
     std::optional<std::uint32_t> queueLength;
     std::optional<Millis> queueTime;
 
     bool operator==(const RuleLimits &) const = default;
 };
 
-/** The answer of a rule that refuses. */
+/** The answer of a rule that refuses requests. */
 struct Refusal
 {
     /** 403, 404, 429 or 503. */
     std::uint32_t status = 403;
     std::string text;
-    /** Seconds; absent where trying again is of no use. */
+    /** Absent if a retry cannot succeed. */
     std::optional<std::uint32_t> retryAfterSeconds;
 
     bool operator==(const Refusal &) const = default;
 };
 
-/** A decided request. */
+/** How to handle a request. */
 struct Decision
 {
-    /** The document and the rule in it that decided. */
+    /** The rule that matched the request, and its document. */
     std::string document;
     std::string rule;
-    /** Present: answer so, and use nothing of what follows. */
+    /** If present, the request gets this answer, and the members below do not apply. */
     std::optional<Refusal> refusal;
     PoolId pool;
     PolicyKind policy = PolicyKind::BoundedRendezvous;
-    /** Percent of the mean load; absent: as the router's settings say. */
+    /** Percent of the mean load; if absent, the router's setting applies. */
     std::optional<std::uint32_t> boundPercent;
-    /** 0 first to 9 last. */
+    /** From 0 (first) to 9 (last). */
     std::uint32_t priority = 0;
     RuleLimits limits;
-    /** Absent: as the router's settings say. The caller's own wins where it is shorter. */
+    /** If absent, the router's setting applies. A shorter deadline of the caller takes precedence. */
     std::optional<Millis> deadline;
     RetryMode retry = RetryMode::Safe;
-    /** Resends, in percent of the requests sent. */
+    /** The maximum of resends, in percent of the requests sent. */
     std::uint32_t retryBudgetPercent = 10;
     ClaimMode claim = ClaimMode::Optional;
-    /** Obeyed by gateways alone. */
+    /** Applied by gateways only. */
     CacheMiss cacheMiss = CacheMiss::Read;
-    /** Obeyed by gateways alone. */
+    /** Applied by gateways only. */
     Overload overload = Overload::Queue;
-    /** Both empty, or both set. */
+    /** The experiment and its arm; both empty or both set. */
     std::string experiment;
     std::string arm;
 
--- a/sequoiausher/coordination/rules/requestfacts.h
+++ b/sequoiausher/coordination/rules/requestfacts.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What the rules may look at: one request, and the fleet's state as this router knows it at that moment.
+// The input of the rules: the properties of one request, and the state of the pools as known to this router.
 //
 //     RequestFacts facts;
 //     facts.organisation = OrganisationId{"kentekenlab"};
@@ -25,24 +25,24 @@
     std::string value;
 };
 
-/** A pool as this router sees it. */
+/** The state of a pool as known to this router. */
 struct PoolState
 {
     PoolId pool;
-    /** Live ones. */
+    /** The number of live targets. */
     std::uint32_t targets = 0;
-    /** Over all shards, as their owners last said. */
+    /** Requests in flight on all shards, as last reported by their owners. */
     std::uint64_t inFlight = 0;
 };
 
-/** All that a rule can ask about. */
+/** The properties that rules can test. */
 struct RequestFacts
 {
     OrganisationId organisation;
     RequestClass requestClass = RequestClass::Interactive;
-    /** Empty for plain services. */
+    /** Empty for services without models. */
     std::string model;
-    /** Without the query. */
+    /** The path without the query. */
     std::string path;
     /** In upper case. */
     std::string method;
@@ -53,7 +53,7 @@
     std::vector<RequestHeader> headers;
     /** Wall-clock time since 1970, UTC. */
     Millis wallTime;
-    /** Shared between requests; a pool that is not in it counts as empty. */
+    /** Shared between requests; a pool that is not in this list counts as empty. */
     std::shared_ptr<const std::vector<PoolState>> pools;
 };
 
--- a/sequoiausher/coordination/rules/ruleaction.cpp
+++ b/sequoiausher/coordination/rules/ruleaction.cpp
@@ -65,15 +65,16 @@
     }
     refusal.status = static_cast<std::uint32_t>(status);
     if (mayRetry && !section.entry("then.retry_after_s")) {
-        section.report(*entry, "then.retry_after_s beside it: a refusal that may be tried again says when");
+        section.report(*entry, "then.retry_after_s in the same rule, since callers may retry after 429 and 503");
     }
     if (!mayRetry && section.entry("then.retry_after_s")) {
-        section.report(*section.entry("then.retry_after_s"), "none with 403 and 404: trying again is of no use");
+        section.report(*section.entry("then.retry_after_s"),
+                       "no such key with 403 and 404, since a retry cannot succeed");
     }
     return refusal;
 }
 
-/** A rule that refuses has no use for anything else; one that routes has none for the refusal's keys. */
+/** Reports other `then.` keys in a rule that refuses, and refusal keys in a rule that does not. */
 void checkRefusalKeys(SectionReader &section, bool refuses)
 {
     constexpr std::array<std::string_view, 3> refusalKeys{"then.refuse", "then.refuse_text", "then.retry_after_s"};
@@ -81,10 +82,10 @@
         const bool isRefusal = std::find(refusalKeys.begin(), refusalKeys.end(), entry.key) != refusalKeys.end();
         const bool isExperiment = entry.key == "then.experiment" || entry.key == "then.arm";
         if (refuses && entry.key.starts_with("then.") && !isRefusal && !isExperiment) {
-            section.report(entry, "no such key beside then.refuse");
+            section.report(entry, "no such key in a rule with then.refuse");
         }
         if (!refuses && isRefusal) {
-            section.report(entry, "then.refuse beside it");
+            section.report(entry, "then.refuse in the same rule");
         }
     }
 }
@@ -93,21 +94,21 @@
 {
     const Decision &decision = action.decision;
     const IniEntry *retry = section.entry("then.retry");
-    // A resend after "may have run" would run a claimed request twice.
+    // Resending a request that may have run could run it twice, although it has a claim.
     if (retry != nullptr && decision.retry == RetryMode::Idempotent && decision.claim == ClaimMode::Required) {
         section.report(*retry, "none or safe, since then.claim = required runs each request at most once");
     }
     const IniEntry *experiment = section.entry("then.experiment");
     const IniEntry *arm = section.entry("then.arm");
     if (experiment != nullptr && arm == nullptr) {
-        section.report(*experiment, "then.arm beside it");
+        section.report(*experiment, "then.arm in the same rule");
     }
     if (arm != nullptr && experiment == nullptr) {
-        section.report(*arm, "then.experiment beside it");
+        section.report(*arm, "then.experiment in the same rule");
     }
     const IniEntry *burst = section.entry("then.burst");
     if (burst != nullptr && section.entry("then.rate_per_second") == nullptr) {
-        section.report(*burst, "then.rate_per_second beside it");
+        section.report(*burst, "then.rate_per_second in the same rule");
     }
 }
 
--- a/sequoiausher/coordination/rules/ruleaction.h
+++ b/sequoiausher/coordination/rules/ruleaction.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The `then.` keys of a rule, read into the decision that the rule gives.
+// Reads the `then.` keys of a rule into a decision.
 //
 //     const RuleAction action = parseAction(section);
 
@@ -11,15 +11,15 @@
 
 namespace Sequoiausher {
 
-/** A decision, and what of it the rule left open. */
+/** The decision of a rule, and its priority if the rule sets one. */
 struct RuleAction
 {
     Decision decision;
-    /** Absent: by the request's class. */
+    /** If absent, the request's class determines the priority. */
     std::optional<std::uint32_t> priority;
 };
 
-/** Reads the section's `then.` keys and reports what is wrong or contradicts itself. */
+/** Reads the section's `then.` keys, and reports invalid values and combinations. */
 RuleAction parseAction(SectionReader &section);
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/rules/rulelist.cpp
+++ b/sequoiausher/coordination/rules/rulelist.cpp
@@ -11,12 +11,12 @@
 namespace {
 
 constexpr std::size_t maxKeysPerRule = 64;
-// Unreachable rules are found by comparing every alternative of a rule with those of each later rule: at most half the
-// square of this number of comparisons. Without the bound, a document of 750 kB kept a router busy for half a minute:
-// its heartbeats would stop whenever such rules were published.
+// Bounds the search for unreachable rules, which compares each alternative of a rule with those of each later rule: at
+// most half the square of this number of comparisons. Without the bound, a document of 750 kB kept a router busy for
+// half a minute, so its heartbeats would have stopped whenever such rules were published.
 constexpr std::size_t maxAlternativesPerDocument = 10000;
 
-/** Whether every request that meets later also meets earlier. */
+/** Whether every request that matches later also matches earlier. */
 bool shadows(const Rule &earlier, const Rule &later)
 {
     return std::all_of(earlier.conditions.begin(), earlier.conditions.end(), [&](const Condition &wide) {
@@ -36,8 +36,8 @@
             }
             Problem problem = problemOf(list, list.rules[later], Severity::Warning);
             problem.found = "a rule that no request reaches, since [rule " + list.rules[earlier].name + "] in line "
-                + std::to_string(list.rules[earlier].line) + " takes all of them";
-            problem.expected = "it before that rule";
+                + std::to_string(list.rules[earlier].line) + " matches all of them";
+            problem.expected = "this rule before that one";
             addProblem(problems, std::move(problem));
             break;
         }
@@ -55,7 +55,7 @@
         return rule;
     }
     rule.action = parseAction(section);
-    // Shares of different experiments must not depend on each other, so each salts them by its own name.
+    // Shares of different experiments must be independent of each other, so the salt is the experiment's name.
     rule.conditions = parseConditions(section, rule.action.decision.experiment);
     const IniEntry *organisation = section.entry("when.organisation");
     if (ofOrganisation && organisation != nullptr) {
@@ -89,7 +89,7 @@
     addProblem(problems, std::move(problem));
 }
 
-/** Reports names that nobody published. */
+/** Reports references to unknown pools and organisations. */
 class NameChecker
 {
 public:
--- a/sequoiausher/coordination/rules/rulelist.h
+++ b/sequoiausher/coordination/rules/rulelist.h
@@ -1,11 +1,11 @@
 #pragma once
 
-// The ordered rules of one document, read by itself: what a RuleSet is made of. A list does not change once it is read,
-// so the sets before and after a change share the lists of all documents that stayed.
+// The ordered rules of one document. A RuleSet consists of such lists. A list does not change after it was read, so the
+// sets before and after a change share the lists of all unchanged documents.
 //
 //     Problems problems;
 //     const RuleList list = readRules(document, problems);
-//     checkNames(list, names, problems);              // warnings, or errors where all documents are at hand
+//     checkNames(list, names, problems);              // warnings, or errors if all documents are known
 
 #include "sequoiausher/base/ini/problem.h"
 #include "sequoiausher/coordination/rules/condition.h"
@@ -22,21 +22,21 @@
 
 /** The fleet's rules document. */
 inline constexpr std::string_view fleetRulesDocument = "rules/fleet";
-/** What the names of the organisations' rules documents start with. */
+/** The prefix of the names of the organisations' rules documents. */
 inline constexpr std::string_view organisationRulesPrefix = "rules/organisation/";
-/** The most rules in one document: unreachable ones are found by comparing them in pairs. */
+/** The maximum number of rules in one document, bounded since unreachable rules are found by comparing all pairs. */
 inline constexpr std::size_t maximumRules = 500;
 
-/** The names that rules may speak of, where they are known. */
+/** The names that rules may refer to. */
 struct RuleNames
 {
     std::vector<std::string> pools;
     std::vector<std::string> organisations;
-    /** How heavy it is to speak of another. */
+    /** The severity of a reference to an unknown name. */
     Severity severity = Severity::Warning;
 };
 
-/** One rule with its place. */
+/** One rule and its place in the document. */
 struct Rule
 {
     std::string name;
@@ -49,10 +49,10 @@
 struct RuleList
 {
     std::string document;
-    /** Empty for the fleet's. */
+    /** Empty for the fleet's rules. */
     OrganisationId organisation;
     std::vector<Rule> rules;
-    /** Some rule's conditions are met by every request, so the fleet's rules are never asked after these. */
+    /** Whether one of the rules matches every request, so that the fleet's rules after this list are never reached. */
     bool matchesEveryRequest = false;
 };
 
@@ -61,13 +61,13 @@
 /** Whether a document of that name holds rules. */
 bool isRulesDocument(std::string_view name);
 
-/** Reads the rules of a document; whole only where problems then holds no error. */
+/** Reads the rules of a document and appends to problems. The list is complete only if no error was appended. */
 RuleList readRules(const Document &document, Problems &problems);
 
-/** Reports the pools and organisations of which the list speaks and that names lacks. */
+/** Reports the pools and organisations that the list refers to and that are missing in names. */
 void checkNames(const RuleList &list, const RuleNames &names, Problems &problems);
 
-/** A problem with the place of a rule, or of the whole document where rule has no name. */
+/** Returns a problem located at the rule. */
 Problem problemOf(const RuleList &list, const Rule &rule, Severity severity);
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/rules/ruleset.cpp
+++ b/sequoiausher/coordination/rules/ruleset.cpp
@@ -15,7 +15,7 @@
     });
 }
 
-/** The order in which shed work is told apart by engines where a rule sets no priority. */
+/** Returns the priority if the rule sets none. Engines use it to decide which requests to shed. */
 std::uint32_t defaultPriority(RequestClass requestClass)
 {
     constexpr std::uint32_t urgent = 1;
@@ -54,7 +54,7 @@
 class RuleSet::Private
 {
 public:
-    /** The lists that speak of the request's organisation, in order. */
+    /** Returns the lists for requests of the organisation, in order. */
     std::vector<const RuleList *> listsFor(const OrganisationId &organisation) const
     {
         std::vector<const RuleList *> lists;
@@ -75,7 +75,7 @@
         return decision;
     }
 
-    /** A rule of the fleet for one organisation whose own document takes every request is never reached. */
+    /** Warns of fleet rules for organisations whose own rules match every request: such rules are never reached. */
     void warnOfUnreachableFleetRules(Problems &problems) const
     {
         for (const Rule &rule : this->fleet->rules) {
@@ -84,8 +84,8 @@
                     Problem problem = problemOf(*this->fleet, rule, Severity::Warning);
                     problem.key = condition.key;
                     problem.found
-                        = "a rule that no request reaches, since the organisation's own rules take all of them";
-                    problem.expected = "it in the organisation's document";
+                        = "a rule that no request reaches, since the organisation's own rules match all of them";
+                    problem.expected = "this rule in the organisation's document";
                     addProblem(problems, std::move(problem));
                 }
             }
--- a/sequoiausher/coordination/rules/ruleset.h
+++ b/sequoiausher/coordination/rules/ruleset.h
@@ -5,7 +5,7 @@
 //
 //     Problems problems;
 //     const std::shared_ptr<const RuleSet> rules = compileRules(documents, std::nullopt, problems);
-//     if (!rules) { ... }                            // refused: the last good set stays in force
+//     if (!rules) { ... }                            // invalid: the previous set remains in use
 //     const std::optional<Decision> decision = rules->decide(facts);
 //
 // A document:
@@ -17,12 +17,12 @@
 //     then.experiment = bound
 //     then.arm = tight
 //
-// What is wrong in a document is an error, and is judged by that document alone, so that every router judges the same
-// way in whatever order documents reach it, and one organisation's mistake need not hold up the others. A rule that no
-// request reaches is a warning. Pools and organisations that are not known are warnings in a router, which may hear of
-// them later; `sequoiausher check`, which sees all documents, makes them errors.
+// Errors depend on a single document only. So every router accepts the same documents, in whatever order it receives
+// them, and a mistake of one organisation does not block the others. A rule that no request reaches is a warning.
+// Unknown pools and organisations are warnings in a router, which may receive their documents later, and errors in
+// `sequoiausher check`, which has all documents.
 //
-// Thread-safe: nothing in a set changes after it was compiled.
+// Thread-safe: a set does not change after it was compiled.
 
 #include "sequoiausher/base/ini/problem.h"
 #include "sequoiausher/coordination/rules/decision.h"
@@ -39,14 +39,14 @@
 
 namespace Sequoiausher {
 
-/** What one rule made of a request. */
+/** The result of matching one rule against a request. */
 struct RuleVerdict
 {
     std::string document;
     std::string rule;
-    /** Every condition holds: this rule decides. */
+    /** Whether all conditions hold, so that this rule decides. */
     bool decides = false;
-    /** Else the first condition that fails: its key, its value as written, and what the request has. */
+    /** Otherwise the first condition that does not hold: its key, its value as written, and the request's value. */
     std::string key;
     std::string expected;
     std::string found;
@@ -54,15 +54,15 @@
     bool operator==(const RuleVerdict &) const = default;
 };
 
-/** Why a request is decided as it is. */
+/** How the decision for a request was reached. */
 struct Explanation
 {
-    /** In order, up to the rule that decides. */
+    /** The rules in order, up to the one that decides. */
     std::vector<RuleVerdict> verdicts;
     std::optional<Decision> decision;
 };
 
-/** The rules in force. */
+/** The rules of all documents. */
 class RuleSet
 {
 public:
@@ -70,13 +70,14 @@
     RuleSet(const RuleSet &) = delete;
     RuleSet &operator=(const RuleSet &) = delete;
 
-    /** What the first rule whose conditions hold says; none where no rule's do: the request is answered 404. */
+    /** Returns the decision of the first rule whose conditions hold; std::nullopt if there is none (answered with 404).
+     */
     std::optional<Decision> decide(const RequestFacts &facts) const;
 
-    /** The same decision with the way to it. */
+    /** Returns the decision of decide() and the rules that led to it. */
     Explanation explain(const RequestFacts &facts) const;
 
-    /** How many rules it has over all documents. */
+    /** Returns the number of rules in all documents. */
     std::size_t size() const;
 
 private:
@@ -88,22 +89,22 @@
 };
 
 /**
- * The set of these lists, none of which holds an error, at most one of each document. They are shared, not copied: a
- * set in which one list is new costs a look at each list, not at each rule. Appends to problems a warning for each rule
- * of the fleet that the organisations' own rules hide.
+ * Makes a set of lists that have no errors, at most one for each document. The lists are shared, not copied, so a set
+ * with one new list takes time for each list, not for each rule. Appends to problems a warning for each rule of the
+ * fleet that no request reaches because of the organisations' own rules.
  */
 std::shared_ptr<const RuleSet> makeRuleSet(const std::vector<RuleListPointer> &lists, Problems &problems);
 
 /**
- * Compiles the rules documents among documents; others and deleted ones are passed over, and their order does not
- * matter. Appends what is wrong to problems.
- * @param names the known names; absent: any name may be spoken of.
- * @return null where a document has an error.
+ * Compiles the rules documents among documents, in any order; other and deleted documents are ignored. Appends errors
+ * and warnings to problems.
+ * @param names the known names; if absent, rules may refer to any name.
+ * @return nullptr if a document has an error.
  */
 std::shared_ptr<const RuleSet>
 compileRules(const std::vector<Document> &documents, const std::optional<RuleNames> &names, Problems &problems);
 
-/** What is wrong with one rules document, taken by itself; a document without errors never spoils a set. */
+/** Returns the problems of a single rules document. A document without errors never makes a set invalid. */
 Problems checkRules(const Document &document);
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/rules/rulesettest.cpp
+++ b/sequoiausher/coordination/rules/rulesettest.cpp
@@ -28,14 +28,14 @@
     return rules;
 }
 
-/** A rule's keys, and the problem that they make in rules/fleet. */
+/** The keys of an invalid rule, and the problem reported for them in rules/fleet. */
 struct BadRule
 {
     std::string keys;
     std::string problem;
 };
 
-/** A rule of the naive interpreter: what it asks, kept as plain values and never parsed. */
+/** A rule of the naive interpreter: its conditions as plain values, which are never parsed. */
 struct NaiveRule
 {
     std::string model;
@@ -95,7 +95,7 @@
 
 } // namespace
 
-TEST_CASE("the organisation's rules come first, then the fleet's, and the first that holds decides")
+TEST_CASE("the organisation's rules come before the fleet's, and the first rule whose conditions hold decides")
 {
     const auto rules = compiled({
         fleet("[rule plates]\nwhen.model = plate-model\nthen.pool = plate-model\nthen.priority = 3\n"
@@ -127,7 +127,7 @@
     CHECK(explanation.decision->refusal == Refusal{404, "no such service", std::nullopt});
 }
 
-TEST_CASE("each kind of condition holds where it says, and at its edges")
+TEST_CASE("each kind of condition holds for matching values, including the limits of ranges")
 {
     struct Edge
     {
@@ -183,7 +183,7 @@
     }
 }
 
-TEST_CASE("each bad rule gives its own clear error")
+TEST_CASE("each invalid rule gives a specific error")
 {
     const std::string numbers = "N, N-M, <N, <=N, >N or >=N of whole numbers from ";
     const std::string several = ", or several, comma separated";
@@ -214,7 +214,7 @@
          "3:24: [rule r] then.rate_per_second: found '1.5', expected a whole number from 1 to 1000000 (requests a "
          "second)"},
         {"then.pool = p\nthen.burst = 5",
-         "3:14: [rule r] then.burst: found '5', expected then.rate_per_second beside it"},
+         "3:14: [rule r] then.burst: found '5', expected then.rate_per_second in the same rule"},
         {"then.pool = p\nthen.queue_time_ms = soon",
          "3:22: [rule r] then.queue_time_ms: found 'soon', expected a whole number from 0 to 3600000 (ms)"},
         {"then.pool = p\nthen.retry = always",
@@ -229,18 +229,20 @@
          "3:14: [rule r] then.retry: found 'idempotent', expected none or safe, since then.claim = required runs each "
          "request at most once"},
         {"then.pool = p\nthen.experiment = e",
-         "3:19: [rule r] then.experiment: found 'e', expected then.arm beside it"},
-        {"then.pool = p\nthen.arm = a", "3:12: [rule r] then.arm: found 'a', expected then.experiment beside it"},
+         "3:19: [rule r] then.experiment: found 'e', expected then.arm in the same rule"},
+        {"then.pool = p\nthen.arm = a",
+         "3:12: [rule r] then.arm: found 'a', expected then.experiment in the same rule"},
         {"then.refuse = 500", "2:15: [rule r] then.refuse: found '500', expected a status: 403, 404, 429 or 503"},
         {"then.refuse = 429",
-         "2:15: [rule r] then.refuse: found '429', expected then.retry_after_s beside it: a refusal that may be tried "
-         "again says when"},
+         "2:15: [rule r] then.refuse: found '429', expected then.retry_after_s in the same rule, since callers may "
+         "retry after 429 and 503"},
         {"then.refuse = 403\nthen.retry_after_s = 5",
-         "3:22: [rule r] then.retry_after_s: found '5', expected none with 403 and 404: trying again is of no use"},
+         "3:22: [rule r] then.retry_after_s: found '5', expected no such key with 403 and 404, since a retry cannot "
+         "succeed"},
         {"then.refuse = 403\nthen.pool = p",
-         "3:13: [rule r] then.pool: found 'p', expected no such key beside then.refuse"},
+         "3:13: [rule r] then.pool: found 'p', expected no such key in a rule with then.refuse"},
         {"then.pool = p\nthen.refuse_text = no",
-         "3:20: [rule r] then.refuse_text: found 'no', expected then.refuse beside it"},
+         "3:20: [rule r] then.refuse_text: found 'no', expected then.refuse in the same rule"},
         {"then.pool = p\nwhen.class = urgnt",
          "3:14: [rule r] when.class: found 'urgnt', expected one of urgent, interactive, background; did you mean "
          "'urgent'?"},
@@ -278,7 +280,7 @@
     }
 }
 
-TEST_CASE("an organisation's document speaks for itself alone")
+TEST_CASE("an organisation's document must not name an organisation")
 {
     Problems problems
         = checkRules({"rules/organisation/k", 1, "[rule r]\nwhen.organisation = j\nthen.pool = p\n", false});
@@ -286,7 +288,7 @@
     CHECK(problems[0].key == "when.organisation");
 }
 
-TEST_CASE("rules that no request reaches are warnings, and do not refuse the set")
+TEST_CASE("rules that no request reaches give warnings, and the set is still valid")
 {
     struct Shadow
     {
@@ -324,7 +326,7 @@
     CHECK(problems[0].key == "when.organisation");
 }
 
-TEST_CASE("unknown pools and organisations are as heavy as the caller says")
+TEST_CASE("unknown pools and organisations have the severity that the caller sets")
 {
     const std::vector<Document> documents = {
         fleet("[rule a]\nwhen.organisation = kentekenlap\nwhen.pool.plates.targets = <4\nthen.pool = plate-modl\n"),
@@ -341,9 +343,9 @@
     CHECK_FALSE(compileRules(documents, RuleNames{names.pools, names.organisations, Severity::Error}, errors));
 }
 
-// Symptom: a bad set passes as good. Sequence: a document draws a hundred warnings, which fill the list of problems;
-// the next document has an error. Cause: the bound on problems drops the error.
-TEST_CASE("an error behind any number of warnings refuses the set")
+// Guards against accepting an invalid set: a document with a hundred warnings fills the list of problems, and the bound
+// of that list drops the error of the next document.
+TEST_CASE("an error after any number of warnings makes the set invalid")
 {
     std::string body = "[rule all]\nthen.pool = p\n";
     for (int i = 0; i < 150; ++i) {
@@ -356,7 +358,7 @@
     CHECK(hasErrors(problems));
 }
 
-TEST_CASE("documents are bounded, so that comparing their rules ends soon")
+TEST_CASE("the size of documents is bounded, so that comparing their rules takes little time")
 {
     const auto firstProblem = [](const std::string &body) {
         const Problems problems = checkRules(fleet(body));
@@ -387,7 +389,7 @@
     CHECK(firstProblem(values) == "rules/fleet: found 10800 alternatives over all rules, expected at most 10000");
 }
 
-TEST_CASE("the first match decides, as a naive interpreter has it")
+TEST_CASE("the first matching rule decides, as in a naive interpreter")
 {
     CHECK(rc::check("decide equals the naive interpreter", [] {
         std::vector<NaiveRule> naive;
@@ -405,7 +407,7 @@
             const auto decision = rules->decide(facts);
             RC_ASSERT((decision ? decision->pool.value : "") == naivePool(naive, facts));
             RC_ASSERT(rules->explain(facts).decision == decision);
-            // A rule said to be hidden must not decide anything.
+            // A rule that was reported as unreachable must not decide.
             for (const Problem &problem : problems) {
                 RC_ASSERT(!decision || problem.section != "rule " + decision->rule);
             }
@@ -413,7 +415,7 @@
     }));
 }
 
-TEST_CASE("random bytes compile or are refused, never more")
+TEST_CASE("random bytes either compile or give an error")
 {
     CHECK(rc::check("compileRules takes any bytes", [](const std::string &body) {
         Problems problems;
@@ -437,7 +439,7 @@
     CHECK(half < chats * 52 / 100);
     CHECK(both > chats * 23 / 100);
     CHECK(both < chats * 27 / 100);
-    // Stable also from build to build: arms must not change hands when routers are replaced.
+    // Shares must also be the same in all builds: replacing routers must not move chats to another arm.
     CHECK(chatShareOf(hash64("chat-1"), "bound-trial") == 84);
     CHECK(chatShareOf(hash64("chat-2"), "bound-trial") == 69);
 }
