--- a/sequoiausher/coordination/admission/waitinglist.cpp
+++ b/sequoiausher/coordination/admission/waitinglist.cpp
@@ -1,6 +1,6 @@
 #include "sequoiausher/coordination/admission/waitinglist.h"
 
-#include "sequoiausher/coordination/limits/classturns.h"
+#include "sequoiausher/coordination/limits/classscheduler.h"
 #include "sequoiausher/coordination/limits/fairflows.h"
 
 #include <algorithm>
@@ -65,7 +65,7 @@
 
     std::size_t most = 0;
     std::array<FairFlows, requestClassCount> classes;
-    ClassTurns turns;
+    ClassScheduler turns;
     std::unordered_map<RequestId, WaitingReservation> byRequest;
     /** By age; those that no longer wait are left in until they come first. */
     std::deque<std::pair<Millis, RequestId>> order;
@@ -90,7 +90,7 @@
         turnedDown[index].insert(*heads[index]);
         return true;
     }
-    this->turns.served(index, this->waits());
+    this->turns.recordServed(index, this->waits());
     this->classes[index].takeFirst(*heads[index]);
     this->byRequest.erase(request);
     return true;
@@ -103,7 +103,7 @@
         --lowest;
     }
     FairFlows &flows = this->classes[lowest];
-    return this->takeOff(flows.takeLast(*flows.furthestAbove(nullptr)).request);
+    return this->takeOff(flows.takeLast(*flows.findMostBacklogged(nullptr)).request);
 }
 
 WaitingList::WaitingList(std::size_t mostWaiting) : d(std::make_unique<Private>())
--- a/sequoiausher/coordination/limits/admissionqueue.cpp
+++ b/sequoiausher/coordination/limits/admissionqueue.cpp
@@ -1,7 +1,7 @@
 #include "sequoiausher/coordination/limits/admissionqueue.h"
 
-#include "sequoiausher/coordination/limits/askwindows.h"
 #include "sequoiausher/coordination/limits/fairflows.h"
+#include "sequoiausher/coordination/limits/reservationwindows.h"
 
 #include <algorithm>
 #include <array>
@@ -16,20 +16,20 @@
 constexpr auto background = static_cast<std::size_t>(RequestClass::Background);
 
 /** How much one finished request moves the mean service time. */
-constexpr double meanWeight = 1.0 / 16;
+constexpr double serviceTimeWeight = 1.0 / 16;
 
 /** On arrival the estimated wait may fill this part of the time left: estimates are means, and later ones overtake. */
-constexpr double acceptedShareOfTime = 0.8;
+constexpr double maxWaitFraction = 0.8;
 
 /** A refused caller comes back up to this part later, by its request's id, so that they do not all return at once. */
-constexpr double retrySpread = 0.25;
+constexpr double retryAfterJitter = 0.25;
 
-struct Flying
+struct InFlightRequest
 {
     QueueEntry entry;
-    Millis since;
+    Millis dispatchedAt;
     /** The owner has not answered yet, as far as this queue is told. */
-    bool isAsking = true;
+    bool isReserving = true;
 };
 
 } // namespace
@@ -37,7 +37,9 @@
 class AdmissionQueue::Private
 {
 public:
-    explicit Private(const AdmissionQueueSettings &bounds) : settings(bounds), window(static_cast<double>(bounds.slots))
+    explicit Private(const AdmissionQueueSettings &bounds)
+        : settings(bounds)
+        , effectiveSlots(static_cast<double>(bounds.slots))
     {
     }
 
@@ -50,9 +52,9 @@
         return count;
     }
 
-    bool hasRoom() const
+    bool hasFreeSlot() const
     {
-        return this->flying.size() < this->settings.slots;
+        return this->inFlightRequests.size() < this->settings.slots;
     }
 
     bool isOpen(Millis now, const OrganisationId &organisation, std::size_t index) const
@@ -61,7 +63,7 @@
     }
 
     /** Who of a class goes on next, of those that the owner did not just say full to. */
-    std::optional<OrganisationId> nextOf(Millis now, std::size_t index) const
+    std::optional<OrganisationId> nextOrganisation(Millis now, std::size_t index) const
     {
         return this->classes[index].next(
             [&](const OrganisationId &organisation) { return this->isOpen(now, organisation, index); });
@@ -69,51 +71,51 @@
 
     void dispatch(Millis now, const QueueEntry &entry)
     {
-        this->flying.emplace(entry.request, Flying{entry, now});
-        this->windows.asks(entry.organisation, entry.requestClass);
+        this->inFlightRequests.emplace(entry.request, InFlightRequest{entry, now});
+        this->windows.startReservation(entry.organisation, entry.requestClass);
     }
 
     /** The request no longer asks. */
-    void answered(Flying &flown)
+    void endReservation(InFlightRequest &inFlightRequest)
     {
-        if (flown.isAsking) {
-            flown.isAsking = false;
-            this->windows.answered(flown.entry.organisation, flown.entry.requestClass);
+        if (inFlightRequest.isReserving) {
+            inFlightRequest.isReserving = false;
+            this->windows.endReservation(inFlightRequest.entry.organisation, inFlightRequest.entry.requestClass);
         }
     }
 
-    void pump(Millis now, std::vector<QueueAction> &actions)
+    void dispatchWaiting(Millis now, std::vector<QueueAction> &actions)
     {
         // Between two checks a time may pass unseen; the target would then work for a caller that has given up.
-        this->lastPump = now;
+        this->lastDispatchAttempt = now;
         this->refuseLate(now, false, actions);
-        while (this->hasRoom() && this->dispatchNext(now, actions)) {
+        while (this->hasFreeSlot() && this->dispatchNext(now, actions)) {
         }
     }
 
     bool dispatchNext(Millis now, std::vector<QueueAction> &actions)
     {
-        std::array<std::optional<OrganisationId>, requestClassCount> heads;
+        std::array<std::optional<OrganisationId>, requestClassCount> nextOrganisations;
         ClassFlags waits{};
         ClassFlags ready{};
         for (std::size_t index = 0; index < requestClassCount; ++index) {
-            heads[index] = this->nextOf(now, index);
-            ready[index] = heads[index].has_value();
+            nextOrganisations[index] = this->nextOrganisation(now, index);
+            ready[index] = nextOrganisations[index].has_value();
             waits[index] = !this->classes[index].empty();
         }
         if (std::find(ready.begin(), ready.end(), true) == ready.end()) {
             return false;
         }
-        const std::size_t index = this->turns.next(ready);
-        this->turns.served(index, waits);
-        const QueueEntry entry = this->classes[index].takeFirst(*heads[index]);
+        const std::size_t index = this->scheduler.next(ready);
+        this->scheduler.recordServed(index, waits);
+        const QueueEntry entry = this->classes[index].takeFirst(*nextOrganisations[index]);
         this->dispatch(now, entry);
         actions.push_back({entry, {QueueVerdict::Dispatch, RefuseReason::None, {}}});
         return true;
     }
 
     /** The estimated wait of a request of this class with ahead others of the class before it. */
-    Millis wait(Millis now, std::size_t index, std::size_t ahead) const
+    Millis estimateWait(Millis now, std::size_t index, std::size_t ahead) const
     {
         const double own = static_cast<double>(ahead) + 1;
         double served = own;
@@ -122,31 +124,31 @@
         }
         double lowerShare = 0;
         if (index < interactive && !this->classes[interactive].empty()) {
-            lowerShare += 1.0 / interactiveEvery;
+            lowerShare += 1.0 / interactiveInterval;
         }
         if (index < background && !this->classes[background].empty()) {
-            lowerShare += 1.0 / backgroundEvery;
+            lowerShare += 1.0 / backgroundInterval;
         }
         served /= 1 - lowerShare;
         if (index == interactive) {
-            served = std::min(served, own * interactiveEvery);
+            served = std::min(served, own * interactiveInterval);
         }
         if (index == background) {
-            served = std::min(served, own * backgroundEvery);
+            served = std::min(served, own * backgroundInterval);
         }
-        const double span = served * this->meanService / std::floor(this->window);
+        const double waitMs = served * this->meanServiceMs / std::floor(this->effectiveSlots);
         const Millis pause = std::max(Millis{0}, this->pausedUntil - now);
-        return pause + Millis{static_cast<std::int64_t>(std::ceil(span))};
+        return pause + Millis{static_cast<std::int64_t>(std::ceil(waitMs))};
     }
 
-    QueueDecision refusal(const QueueEntry &entry, RefuseReason reason, Millis estimated) const
+    QueueDecision makeRefusal(const QueueEntry &entry, RefuseReason reason, Millis estimated) const
     {
-        const Millis bounded
-            = std::clamp(estimated, this->settings.shortestRetryAfter, this->settings.longestRetryAfter);
+        const Millis bounded = std::clamp(estimated, this->settings.minRetryAfter, this->settings.maxRetryAfter);
         constexpr std::uint64_t steps = 1024;
-        const double spread = retrySpread * static_cast<double>(entry.request.low % steps) / static_cast<double>(steps);
-        const auto later = static_cast<std::int64_t>(static_cast<double>(bounded.count) * spread);
-        return {QueueVerdict::Refuse, reason, bounded + Millis{later}};
+        const double jitter
+            = retryAfterJitter * static_cast<double>(entry.request.low % steps) / static_cast<double>(steps);
+        const auto jitterMs = static_cast<std::int64_t>(static_cast<double>(bounded.count) * jitter);
+        return {QueueVerdict::Refuse, reason, bounded + Millis{jitterMs}};
     }
 
     /** The lowest class in which somebody waits, or that of arriving where it is lower. */
@@ -167,18 +169,18 @@
         const std::size_t lowest = this->lowestClass(arriving);
         FairFlows &flows = this->classes[lowest];
         const bool competes = arriving && static_cast<std::size_t>(arriving->requestClass) == lowest;
-        const OrganisationId loser = *flows.furthestAbove(competes ? arriving : nullptr);
-        if (competes && loser == arriving->organisation) {
+        const OrganisationId mostBacklogged = *flows.findMostBacklogged(competes ? arriving : nullptr);
+        if (competes && mostBacklogged == arriving->organisation) {
             return false;
         }
-        const QueueEntry shed = flows.takeLast(loser);
-        const Millis estimated = this->wait(now, lowest, flows.aheadOfNew(loser));
-        actions.push_back({shed, this->refusal(shed, RefuseReason::Full, estimated)});
+        const QueueEntry shed = flows.takeLast(mostBacklogged);
+        const Millis estimated = this->estimateWait(now, lowest, flows.countAheadOfNew(mostBacklogged));
+        actions.push_back({shed, this->makeRefusal(shed, RefuseReason::Full, estimated)});
         return true;
     }
 
     /** Refuses those whose time cannot be met. */
-    void check(Millis now, std::vector<QueueAction> &actions)
+    void refuseByEstimate(Millis now, std::vector<QueueAction> &actions)
     {
         this->lastCheck = now;
         this->refuseLate(now, true, actions);
@@ -190,9 +192,9 @@
         std::vector<QueueAction> late;
         for (std::size_t index = 0; index < requestClassCount; ++index) {
             this->classes[index].forEach([&](const QueueEntry &entry, std::size_t ahead) {
-                const Millis estimated = this->wait(now, index, ahead);
+                const Millis estimated = this->estimateWait(now, index, ahead);
                 if (now + (byEstimate ? estimated : Millis{0}) > entry.dispatchBy) {
-                    late.push_back({entry, this->refusal(entry, RefuseReason::Deadline, estimated)});
+                    late.push_back({entry, this->makeRefusal(entry, RefuseReason::Deadline, estimated)});
                 }
             });
         }
@@ -205,16 +207,16 @@
 
     const AdmissionQueueSettings settings;
     std::array<FairFlows, requestClassCount> classes;
-    ClassTurns turns;
-    AskWindows windows;
-    std::unordered_map<RequestId, Flying> flying;
+    ClassScheduler scheduler;
+    ReservationWindows windows;
+    std::unordered_map<RequestId, InFlightRequest> inFlightRequests;
     /** What this router can count on, with the part of the next place. */
-    double window = 1;
+    double effectiveSlots = 1;
     /** Mean time in flight in milliseconds; 0 while nothing has finished: then every wait is taken to be met. */
-    double meanService = 0;
+    double meanServiceMs = 0;
     Millis pausedUntil;
     Millis lastCheck;
-    Millis lastPump;
+    Millis lastDispatchAttempt;
 };
 
 AdmissionQueue::AdmissionQueue(const AdmissionQueueSettings &settings) : d(std::make_unique<Private>(settings))
@@ -227,21 +229,21 @@
 {
     const auto index = static_cast<std::size_t>(entry.requestClass);
     // With a slot free, whoever waits is held back by what the owner said; the others need not wait for them.
-    const bool isNext = this->d->classes[index].waitingOf(entry.organisation) == 0;
-    if (isNext && this->d->hasRoom() && this->d->isOpen(now, entry.organisation, index)) {
+    const bool isNext = this->d->classes[index].countWaiting(entry.organisation) == 0;
+    if (isNext && this->d->hasFreeSlot() && this->d->isOpen(now, entry.organisation, index)) {
         this->d->dispatch(now, entry);
         return {QueueVerdict::Dispatch, RefuseReason::None, {}};
     }
-    const std::size_t ahead = this->d->classes[index].aheadOfNew(entry.organisation);
-    const Millis estimated = this->d->wait(now, index, ahead);
+    const std::size_t ahead = this->d->classes[index].countAheadOfNew(entry.organisation);
+    const Millis estimated = this->d->estimateWait(now, index, ahead);
     if (entry.dispatchBy != Millis::never()) {
-        const double left = static_cast<double>((entry.dispatchBy - now).count) * acceptedShareOfTime;
-        if (static_cast<double>(estimated.count) > left) {
-            return this->d->refusal(entry, RefuseReason::Deadline, estimated);
+        const double timeLeftMs = static_cast<double>((entry.dispatchBy - now).count) * maxWaitFraction;
+        if (static_cast<double>(estimated.count) > timeLeftMs) {
+            return this->d->makeRefusal(entry, RefuseReason::Deadline, estimated);
         }
     }
     if (this->d->waiting() >= this->d->settings.maxWaiting && !this->d->shedOne(now, &entry, actions)) {
-        return this->d->refusal(entry, RefuseReason::Full, estimated);
+        return this->d->makeRefusal(entry, RefuseReason::Full, estimated);
     }
     if (this->d->waiting() == 0) {
         this->d->lastCheck = now;
@@ -252,49 +254,50 @@
 
 void AdmissionQueue::finish(Millis now, const RequestId &request, std::vector<QueueAction> &actions)
 {
-    const auto found = this->d->flying.find(request);
-    if (found == this->d->flying.end()) {
+    const auto found = this->d->inFlightRequests.find(request);
+    if (found == this->d->inFlightRequests.end()) {
         return;
     }
-    const double took = static_cast<double>((now - found->second.since).count);
-    const bool first = this->d->meanService == 0;
-    this->d->meanService = first ? took : this->d->meanService + (took - this->d->meanService) * meanWeight;
-    this->d->answered(found->second);
-    this->d->flying.erase(found);
-    const double most = static_cast<double>(this->d->settings.slots);
-    this->d->window = std::min(most, this->d->window + 1 / this->d->window);
-    this->d->pump(now, actions);
+    const double serviceMs = static_cast<double>((now - found->second.dispatchedAt).count);
+    const bool first = this->d->meanServiceMs == 0;
+    this->d->meanServiceMs
+        = first ? serviceMs : this->d->meanServiceMs + (serviceMs - this->d->meanServiceMs) * serviceTimeWeight;
+    this->d->endReservation(found->second);
+    this->d->inFlightRequests.erase(found);
+    const double maxSlots = static_cast<double>(this->d->settings.slots);
+    this->d->effectiveSlots = std::min(maxSlots, this->d->effectiveSlots + 1 / this->d->effectiveSlots);
+    this->d->dispatchWaiting(now, actions);
 }
 
 void AdmissionQueue::granted(Millis now, const RequestId &request, std::vector<QueueAction> &actions)
 {
-    const auto found = this->d->flying.find(request);
-    if (found != this->d->flying.end()) {
-        this->d->answered(found->second);
-        this->d->pump(now, actions);
+    const auto found = this->d->inFlightRequests.find(request);
+    if (found != this->d->inFlightRequests.end()) {
+        this->d->endReservation(found->second);
+        this->d->dispatchWaiting(now, actions);
     }
 }
 
 void AdmissionQueue::putBack(Millis now, const RequestId &request, Millis retryAfter, std::vector<QueueAction> &actions)
 {
-    const auto found = this->d->flying.find(request);
-    if (found == this->d->flying.end()) {
+    const auto found = this->d->inFlightRequests.find(request);
+    if (found == this->d->inFlightRequests.end()) {
         return;
     }
     const QueueEntry entry = found->second.entry;
-    if (!found->second.isAsking) {
+    if (!found->second.isReserving) {
         // It had a place before, and its target failed it.
-        this->d->windows.asks(entry.organisation, entry.requestClass);
+        this->d->windows.startReservation(entry.organisation, entry.requestClass);
     }
-    this->d->flying.erase(found);
-    this->d->windows.full(now + retryAfter, entry.organisation, entry.requestClass);
-    this->d->window = std::max(1.0, static_cast<double>(this->d->flying.size()));
+    this->d->inFlightRequests.erase(found);
+    this->d->windows.recordFull(now + retryAfter, entry.organisation, entry.requestClass);
+    this->d->effectiveSlots = std::max(1.0, static_cast<double>(this->d->inFlightRequests.size()));
     this->d->pausedUntil = std::max(this->d->pausedUntil, now + retryAfter);
     this->d->classes[static_cast<std::size_t>(entry.requestClass)].putBack(entry);
     if (this->d->waiting() > this->d->settings.maxWaiting) {
         this->d->shedOne(now, nullptr, actions);
     }
-    this->d->check(now, actions);
+    this->d->refuseByEstimate(now, actions);
 }
 
 void AdmissionQueue::cancel(const RequestId &request)
@@ -314,9 +317,9 @@
 
 void AdmissionQueue::tick(Millis now, std::vector<QueueAction> &actions)
 {
-    this->d->pump(now, actions);
+    this->d->dispatchWaiting(now, actions);
     if (now - this->d->lastCheck >= this->d->settings.checkInterval) {
-        this->d->check(now, actions);
+        this->d->refuseByEstimate(now, actions);
     }
 }
 
@@ -326,7 +329,7 @@
         return Millis::never();
     }
     const Millis nextCheck = this->d->lastCheck + this->d->settings.checkInterval;
-    return std::min(nextCheck, this->d->windows.nextEnd(this->d->lastPump));
+    return std::min(nextCheck, this->d->windows.nextPauseEnd(this->d->lastDispatchAttempt));
 }
 
 std::size_t AdmissionQueue::waiting() const
@@ -336,18 +339,18 @@
 
 std::size_t AdmissionQueue::inFlight() const
 {
-    return this->d->flying.size();
+    return this->d->inFlightRequests.size();
 }
 
 std::optional<QueueEntry> AdmissionQueue::dispatched(const RequestId &request) const
 {
-    const auto found = this->d->flying.find(request);
-    return found == this->d->flying.end() ? std::nullopt : std::optional(found->second.entry);
+    const auto found = this->d->inFlightRequests.find(request);
+    return found == this->d->inFlightRequests.end() ? std::nullopt : std::optional(found->second.entry);
 }
 
 std::size_t AdmissionQueue::slots() const
 {
-    return static_cast<std::size_t>(this->d->window);
+    return static_cast<std::size_t>(this->d->effectiveSlots);
 }
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/limits/admissionqueue.h
+++ b/sequoiausher/coordination/limits/admissionqueue.h
@@ -16,11 +16,11 @@
 // it so; it is never held until its time is up.
 //
 // Slots: how many requests may be in flight. When the owner of the pool says that there is no room, this holds back
-// the request's organisation and class alone (askwindows.h): a pool is full for background work before it is for urgent
+// the request's organisation and class alone (reservationwindows.h): a pool is full for background work before it is for urgent
 // requests. What the router can count on, for the estimates, shrinks to what is in flight and grows again by one for
 // each round of finished requests, since what the pool gives to one of many routers changes all the time.
 
-#include "sequoiausher/coordination/limits/classturns.h"
+#include "sequoiausher/coordination/limits/classscheduler.h"
 #include "sequoiausher/coordination/limits/dispatchqueue.h"
 
 #include <memory>
@@ -38,8 +38,8 @@
     /** How often waiting requests are checked against their time. */
     Millis checkInterval{50};
     /** Bounds of what a refused caller is told. */
-    Millis shortestRetryAfter{1000};
-    Millis longestRetryAfter{30000};
+    Millis minRetryAfter{1000};
+    Millis maxRetryAfter{30000};
 };
 
 class AdmissionQueue : public DispatchQueue
--- a/sequoiausher/coordination/limits/admissionqueuetest.cpp
+++ b/sequoiausher/coordination/limits/admissionqueuetest.cpp
@@ -113,8 +113,8 @@
             since[entry.value] = entry.value == requestClass ? 0 : since[entry.value] + 1;
         }
         ++served[requestClass];
-        CHECK(since[RequestClass::Interactive] < interactiveEvery);
-        CHECK(since[RequestClass::Background] < backgroundEvery);
+        CHECK(since[RequestClass::Interactive] < interactiveInterval);
+        CHECK(since[RequestClass::Background] < backgroundInterval);
     }
     CHECK(served[RequestClass::Urgent] > 300 * 8 / 10);
 }
--- a/sequoiausher/coordination/limits/classturns.cpp
+++ b/sequoiausher/coordination/limits/classscheduler.cpp
@@ -1,4 +1,4 @@
-#include "sequoiausher/coordination/limits/classturns.h"
+#include "sequoiausher/coordination/limits/classscheduler.h"
 
 namespace Sequoiausher {
 
@@ -9,13 +9,13 @@
 
 } // namespace
 
-std::size_t ClassTurns::next(const ClassFlags &ready) const
+std::size_t ClassScheduler::next(const ClassFlags &ready) const
 {
-    if (ready[interactive] && this->passedOver[interactive] + 1 >= interactiveEvery) {
+    if (ready[interactive] && this->passedOver[interactive] + 1 >= interactiveInterval) {
         return interactive;
     }
     // Interactive comes first where both are due, so background is due one dispatch early.
-    if (ready[background] && this->passedOver[background] + 2 >= backgroundEvery) {
+    if (ready[background] && this->passedOver[background] + 2 >= backgroundInterval) {
         return background;
     }
     std::size_t index = 0;
@@ -25,7 +25,7 @@
     return index;
 }
 
-void ClassTurns::served(std::size_t index, const ClassFlags &waiting)
+void ClassScheduler::recordServed(std::size_t index, const ClassFlags &waiting)
 {
     for (std::size_t other = 0; other < requestClassCount; ++other) {
         const bool passes = other != index && waiting[other];
--- a/sequoiausher/coordination/limits/classturnstest.cpp
+++ b/sequoiausher/coordination/limits/classschedulertest.cpp
@@ -1,4 +1,4 @@
-#include "sequoiausher/coordination/limits/classturns.h"
+#include "sequoiausher/coordination/limits/classscheduler.h"
 
 #include <doctest/doctest.h>
 
@@ -24,12 +24,12 @@
     };
     for (const Row &row : rows) {
         CAPTURE(row.what);
-        ClassTurns turns;
+        ClassScheduler scheduler;
         std::array<int, requestClassCount> served{};
         for (int i = 0; i < 100; ++i) {
-            const std::size_t index = turns.next(row.ready);
+            const std::size_t index = scheduler.next(row.ready);
             served[index] += 1;
-            turns.served(index, row.waiting);
+            scheduler.recordServed(index, row.waiting);
         }
         CHECK(served == row.served);
     }
@@ -37,12 +37,12 @@
 
 TEST_CASE("a class that was held back is served first once it is ready")
 {
-    ClassTurns turns;
+    ClassScheduler scheduler;
     const ClassFlags waiting{true, true, false};
     for (int i = 0; i < 20; ++i) {
-        turns.served(0, waiting);
+        scheduler.recordServed(0, waiting);
     }
-    CHECK(turns.next({true, true, false}) == 1);
-    turns.served(1, waiting);
-    CHECK(turns.next({true, true, false}) == 0);
+    CHECK(scheduler.next({true, true, false}) == 1);
+    scheduler.recordServed(1, waiting);
+    CHECK(scheduler.next({true, true, false}) == 0);
 }
--- a/sequoiausher/coordination/limits/fairflows.cpp
+++ b/sequoiausher/coordination/limits/fairflows.cpp
@@ -33,7 +33,7 @@
     }
 
     /** Forgets tags that no longer tell anything, and beyond the bound all of those that wait for nothing. */
-    void forget()
+    void forgetIdleFlows()
     {
         const bool tooMany = this->flows.size() > maxRememberedFlows;
         std::erase_if(this->flows, [this, tooMany](const auto &item) {
@@ -42,7 +42,7 @@
     }
 
     /** How many entries of all flows but own start before tag. */
-    std::size_t startBefore(double tag, const OrganisationId &own) const
+    std::size_t countStartingBefore(double tag, const OrganisationId &own) const
     {
         std::size_t count = 0;
         for (const auto &item : this->flows) {
@@ -80,7 +80,7 @@
     return this->d->size == 0;
 }
 
-std::size_t FairFlows::waitingOf(const OrganisationId &organisation) const
+std::size_t FairFlows::countWaiting(const OrganisationId &organisation) const
 {
     const auto found = this->d->flows.find(organisation);
     return found == this->d->flows.end() ? 0 : found->second.entries.size();
@@ -108,13 +108,13 @@
     return this->takeFirst(*this->next([](const OrganisationId &) { return true; }));
 }
 
-std::optional<OrganisationId> FairFlows::next(const std::function<bool(const OrganisationId &)> &mayGoOn) const
+std::optional<OrganisationId> FairFlows::next(const std::function<bool(const OrganisationId &)> &mayDispatch) const
 {
     auto best = this->d->flows.end();
     for (auto it = this->d->flows.begin(); it != this->d->flows.end(); ++it) {
         const bool waits = !it->second.entries.empty();
         const bool isBefore = best == this->d->flows.end() || it->second.tag < best->second.tag;
-        if (waits && isBefore && mayGoOn(it->first)) {
+        if (waits && isBefore && mayDispatch(it->first)) {
             best = it;
         }
     }
@@ -135,7 +135,7 @@
     this->d->virtualTime = std::max(this->d->virtualTime, flow.tag);
     flow.tag += entry.cost;
     --this->d->size;
-    this->d->forget();
+    this->d->forgetIdleFlows();
     return entry;
 }
 
@@ -154,28 +154,28 @@
     found->second.cost -= entry->cost;
     entries.erase(entry);
     --this->d->size;
-    this->d->forget();
+    this->d->forgetIdleFlows();
     return true;
 }
 
-std::optional<OrganisationId> FairFlows::furthestAbove(const QueueEntry *arriving) const
+std::optional<OrganisationId> FairFlows::findMostBacklogged(const QueueEntry *arriving) const
 {
-    std::optional<OrganisationId> furthest;
-    double most = 0;
+    std::optional<OrganisationId> mostBacklogged;
+    double maxCost = 0;
     if (arriving) {
         const auto own = this->d->flows.find(arriving->organisation);
-        furthest = arriving->organisation;
-        most = arriving->cost + (own == this->d->flows.end() ? 0 : own->second.cost);
+        mostBacklogged = arriving->organisation;
+        maxCost = arriving->cost + (own == this->d->flows.end() ? 0 : own->second.cost);
     }
     for (const auto &item : this->d->flows) {
         const bool isOwn = arriving && item.first == arriving->organisation;
-        const bool above = item.second.cost > most || (!arriving && item.second.cost == most);
+        const bool above = item.second.cost > maxCost || (!arriving && item.second.cost == maxCost);
         if (!item.second.entries.empty() && !isOwn && above) {
-            furthest = item.first;
-            most = item.second.cost;
+            mostBacklogged = item.first;
+            maxCost = item.second.cost;
         }
     }
-    return furthest;
+    return mostBacklogged;
 }
 
 QueueEntry FairFlows::takeLast(const OrganisationId &organisation)
@@ -185,18 +185,18 @@
     flow.entries.pop_back();
     flow.cost -= entry.cost;
     --this->d->size;
-    this->d->forget();
+    this->d->forgetIdleFlows();
     return entry;
 }
 
-std::size_t FairFlows::aheadOfNew(const OrganisationId &organisation) const
+std::size_t FairFlows::countAheadOfNew(const OrganisationId &organisation) const
 {
     const auto found = this->d->flows.find(organisation);
     if (found == this->d->flows.end()) {
-        return this->d->startBefore(this->d->virtualTime, organisation);
+        return this->d->countStartingBefore(this->d->virtualTime, organisation);
     }
     const double start = std::max(found->second.tag + found->second.cost, this->d->virtualTime);
-    return found->second.entries.size() + this->d->startBefore(start, organisation);
+    return found->second.entries.size() + this->d->countStartingBefore(start, organisation);
 }
 
 void FairFlows::forEach(const std::function<void(const QueueEntry &, std::size_t)> &visit) const
@@ -205,7 +205,7 @@
         double start = item.second.tag;
         std::size_t position = 0;
         for (const QueueEntry &entry : item.second.entries) {
-            visit(entry, position + this->d->startBefore(start, item.first));
+            visit(entry, position + this->d->countStartingBefore(start, item.first));
             start += entry.cost;
             ++position;
         }
--- a/sequoiausher/coordination/limits/fairflows.h
+++ b/sequoiausher/coordination/limits/fairflows.h
@@ -40,12 +40,12 @@
     /** Adds before those of the same organisation, and takes back what takeNext() charged for it. */
     void putBack(const QueueEntry &entry);
     /** How many of an organisation wait. */
-    std::size_t waitingOf(const OrganisationId &organisation) const;
+    std::size_t countWaiting(const OrganisationId &organisation) const;
 
     /** The next in fair order. Not to be called when empty. */
     QueueEntry takeNext();
-    /** The organisation that comes next of those that mayGoOn accepts; std::nullopt where none of them waits. */
-    std::optional<OrganisationId> next(const std::function<bool(const OrganisationId &)> &mayGoOn) const;
+    /** The organisation that comes next of those that mayDispatch accepts; std::nullopt where none of them waits. */
+    std::optional<OrganisationId> next(const std::function<bool(const OrganisationId &)> &mayDispatch) const;
     /** The first of an organisation that waits; charges it. */
     QueueEntry takeFirst(const OrganisationId &organisation);
     /** The first of an organisation that waits. */
@@ -58,12 +58,12 @@
      * if it waited already; of equals the one that comes last by name, with arriving's own before all others.
      * std::nullopt where nobody waits and nothing arrives.
      */
-    std::optional<OrganisationId> furthestAbove(const QueueEntry *arriving) const;
+    std::optional<OrganisationId> findMostBacklogged(const QueueEntry *arriving) const;
     /** Takes away the last one of an organisation that waits. */
     QueueEntry takeLast(const OrganisationId &organisation);
 
     /** How many would be served before a new one of this organisation, as long as none arrives. */
-    std::size_t aheadOfNew(const OrganisationId &organisation) const;
+    std::size_t countAheadOfNew(const OrganisationId &organisation) const;
     /** Calls visit with each one waiting and how many would be served before it. */
     void forEach(const std::function<void(const QueueEntry &, std::size_t ahead)> &visit) const;
 
--- a/sequoiausher/coordination/limits/fifoqueue.cpp
+++ b/sequoiausher/coordination/limits/fifoqueue.cpp
@@ -7,31 +7,32 @@
 namespace Sequoiausher {
 
 namespace {
-constexpr Millis naiveRetryAfter{1000};
+constexpr Millis fixedRetryAfter{1000};
 } // namespace
 
 class FifoQueue::Private
 {
 public:
-    void pump(Millis now, std::vector<QueueAction> &actions)
+    void dispatchWaiting(Millis now, std::vector<QueueAction> &actions)
     {
         this->paused = now < this->pausedUntil;
-        while (!this->line.empty() && this->flying.size() < this->slots && now >= this->pausedUntil) {
-            const QueueEntry entry = this->line.front();
-            this->line.pop_front();
+        while (!this->waitingRequests.empty() && this->inFlightRequests.size() < this->slots
+               && now >= this->pausedUntil) {
+            const QueueEntry entry = this->waitingRequests.front();
+            this->waitingRequests.pop_front();
             if (now >= entry.dispatchBy) {
-                actions.push_back({entry, {QueueVerdict::Refuse, RefuseReason::Deadline, naiveRetryAfter}});
+                actions.push_back({entry, {QueueVerdict::Refuse, RefuseReason::Deadline, fixedRetryAfter}});
                 continue;
             }
-            this->flying.emplace(entry.request, entry);
+            this->inFlightRequests.emplace(entry.request, entry);
             actions.push_back({entry, {QueueVerdict::Dispatch, RefuseReason::None, {}}});
         }
     }
 
     std::size_t slots = 0;
     std::size_t maxWaiting = 0;
-    std::deque<QueueEntry> line;
-    std::unordered_map<RequestId, QueueEntry> flying;
+    std::deque<QueueEntry> waitingRequests;
+    std::unordered_map<RequestId, QueueEntry> inFlightRequests;
     Millis pausedUntil;
     bool paused = false;
 };
@@ -46,21 +47,22 @@
 
 QueueDecision FifoQueue::offer(Millis now, const QueueEntry &entry, [[maybe_unused]] std::vector<QueueAction> &actions)
 {
-    if (this->d->line.empty() && this->d->flying.size() < this->d->slots && now >= this->d->pausedUntil) {
-        this->d->flying.emplace(entry.request, entry);
+    if (this->d->waitingRequests.empty() && this->d->inFlightRequests.size() < this->d->slots
+        && now >= this->d->pausedUntil) {
+        this->d->inFlightRequests.emplace(entry.request, entry);
         return {QueueVerdict::Dispatch, RefuseReason::None, {}};
     }
-    if (this->d->line.size() >= this->d->maxWaiting) {
-        return {QueueVerdict::Refuse, RefuseReason::Full, naiveRetryAfter};
+    if (this->d->waitingRequests.size() >= this->d->maxWaiting) {
+        return {QueueVerdict::Refuse, RefuseReason::Full, fixedRetryAfter};
     }
-    this->d->line.push_back(entry);
+    this->d->waitingRequests.push_back(entry);
     return {QueueVerdict::Queue, RefuseReason::None, {}};
 }
 
 void FifoQueue::finish(Millis now, const RequestId &request, std::vector<QueueAction> &actions)
 {
-    this->d->flying.erase(request);
-    this->d->pump(now, actions);
+    this->d->inFlightRequests.erase(request);
+    this->d->dispatchWaiting(now, actions);
 }
 
 void FifoQueue::putBack(Millis now,
@@ -68,40 +70,40 @@
                         Millis retryAfter,
                         [[maybe_unused]] std::vector<QueueAction> &actions)
 {
-    const auto found = this->d->flying.find(request);
-    if (found == this->d->flying.end()) {
+    const auto found = this->d->inFlightRequests.find(request);
+    if (found == this->d->inFlightRequests.end()) {
         return;
     }
-    this->d->line.push_front(found->second);
-    this->d->flying.erase(found);
+    this->d->waitingRequests.push_front(found->second);
+    this->d->inFlightRequests.erase(found);
     this->d->pausedUntil = now + retryAfter;
     this->d->paused = true;
 }
 
 void FifoQueue::cancel(const RequestId &request)
 {
-    std::erase_if(this->d->line, [&request](const QueueEntry &entry) { return entry.request == request; });
+    std::erase_if(this->d->waitingRequests, [&request](const QueueEntry &entry) { return entry.request == request; });
 }
 
 void FifoQueue::tick(Millis now, std::vector<QueueAction> &actions)
 {
-    this->d->pump(now, actions);
+    this->d->dispatchWaiting(now, actions);
 }
 
 Millis FifoQueue::nextDeadline() const
 {
     // But for the end of a pause, only the end of a request lets anybody go on.
-    return this->d->line.empty() || !this->d->paused ? Millis::never() : this->d->pausedUntil;
+    return this->d->waitingRequests.empty() || !this->d->paused ? Millis::never() : this->d->pausedUntil;
 }
 
 std::size_t FifoQueue::waiting() const
 {
-    return this->d->line.size();
+    return this->d->waitingRequests.size();
 }
 
 std::size_t FifoQueue::inFlight() const
 {
-    return this->d->flying.size();
+    return this->d->inFlightRequests.size();
 }
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/limits/poolguard.cpp
+++ b/sequoiausher/coordination/limits/poolguard.cpp
@@ -9,7 +9,7 @@
 }
 
 std::vector<TargetId>
-PoolGuard::leftAlone(Millis now, const PoolView &pool, const std::vector<TargetId> &excluded) const
+PoolGuard::pausedTargets(Millis now, const PoolView &pool, const std::vector<TargetId> &excluded) const
 {
     std::vector<TargetId> paused;
     bool othersRemain = false;
@@ -28,23 +28,23 @@
     if (!othersRemain) {
         return {};
     }
-    paused.resize(std::min(paused.size(), mostLeftAlone));
+    paused.resize(std::min(paused.size(), maxPausedTargets));
     return paused;
 }
 
-void PoolGuard::tried(Millis now, const TargetId &target)
+void PoolGuard::recordAttempt(Millis now, const TargetId &target)
 {
-    this->health.mayTry(now, target);
+    this->health.allowRequest(now, target);
 }
 
-void PoolGuard::answered(const TargetId &target)
+void PoolGuard::recordSuccess(const TargetId &target)
 {
-    this->health.succeeded(target);
+    this->health.recordSuccess(target);
 }
 
-void PoolGuard::failed(Millis now, const TargetId &target)
+void PoolGuard::recordFailure(Millis now, const TargetId &target)
 {
-    this->health.failed(now, target);
+    this->health.recordFailure(now, target);
 }
 
 void PoolGuard::forget(const TargetId &target)
@@ -64,7 +64,7 @@
     this->budget(pool, percent).countRequest(now);
 }
 
-bool PoolGuard::mayResend(Millis now, const PoolId &pool, std::uint32_t percent)
+bool PoolGuard::tryResend(Millis now, const PoolId &pool, std::uint32_t percent)
 {
     return percent > 0 && this->budget(pool, percent).tryRetry(now);
 }
--- a/sequoiausher/coordination/limits/poolguardtest.cpp
+++ b/sequoiausher/coordination/limits/poolguardtest.cpp
@@ -21,7 +21,7 @@
 void failThrice(PoolGuard &guard, const std::string &target)
 {
     for (int i = 0; i < 3; ++i) {
-        guard.failed(Millis{1000}, TargetId{target});
+        guard.recordFailure(Millis{1000}, TargetId{target});
     }
 }
 
@@ -33,14 +33,14 @@
 {
     PoolGuard guard;
     const PoolView pool = poolOf({"a", "b"});
-    CHECK(guard.leftAlone(Millis{1000}, pool, {}).empty());
+    CHECK(guard.pausedTargets(Millis{1000}, pool, {}).empty());
     failThrice(guard, "a");
-    CHECK(guard.leftAlone(Millis{1000}, pool, {}) == std::vector{TargetId{"a"}});
-    CHECK(guard.leftAlone(Millis{1600}, pool, {}).empty());
-    guard.tried(Millis{1600}, TargetId{"a"});
-    CHECK(guard.leftAlone(Millis{1601}, pool, {}) == std::vector{TargetId{"a"}});
-    guard.answered(TargetId{"a"});
-    CHECK(guard.leftAlone(Millis{1602}, pool, {}).empty());
+    CHECK(guard.pausedTargets(Millis{1000}, pool, {}) == std::vector{TargetId{"a"}});
+    CHECK(guard.pausedTargets(Millis{1600}, pool, {}).empty());
+    guard.recordAttempt(Millis{1600}, TargetId{"a"});
+    CHECK(guard.pausedTargets(Millis{1601}, pool, {}) == std::vector{TargetId{"a"}});
+    guard.recordSuccess(TargetId{"a"});
+    CHECK(guard.pausedTargets(Millis{1602}, pool, {}).empty());
 }
 
 TEST_CASE("where all are paused, one is tried all the same")
@@ -49,10 +49,10 @@
     const PoolView pool = poolOf({"a", "b"});
     failThrice(guard, "a");
     failThrice(guard, "b");
-    CHECK(guard.leftAlone(Millis{1000}, pool, {}).empty());
+    CHECK(guard.pausedTargets(Millis{1000}, pool, {}).empty());
     // The request has failed on b itself: a is all that is left.
-    guard.answered(TargetId{"b"});
-    CHECK(guard.leftAlone(Millis{1000}, pool, {TargetId{"b"}}).empty());
+    guard.recordSuccess(TargetId{"b"});
+    CHECK(guard.pausedTargets(Millis{1000}, pool, {TargetId{"b"}}).empty());
 }
 
 // Symptom: a pool that lost half of its targets gets twice the requests. Cause: each failed call was sent again.
@@ -65,10 +65,10 @@
         guard.countRequest(now, pool, 10);
     }
     int sent = 0;
-    while (guard.mayResend(now, pool, 10)) {
+    while (guard.tryResend(now, pool, 10)) {
         ++sent;
     }
     CHECK(sent <= 20);
-    CHECK(guard.mayResend(now, PoolId{"other"}, 10));
-    CHECK_FALSE(guard.mayResend(now, pool, 0));
+    CHECK(guard.tryResend(now, PoolId{"other"}, 10));
+    CHECK_FALSE(guard.tryResend(now, pool, 0));
 }
--- a/sequoiausher/coordination/limits/ratelimit.cpp
+++ b/sequoiausher/coordination/limits/ratelimit.cpp
@@ -32,12 +32,12 @@
     }
 
     /** When the bucket will hold wanted. */
-    Millis timeTo(double wanted, double perSecond) const
+    Millis timeUntil(double amount, double perSecond) const
     {
-        constexpr Millis longest{60000};
-        const double missing = std::max(0.0, wanted - this->tokens);
-        if (missing * msPerSecond >= static_cast<double>(longest.count) * perSecond) {
-            return longest;
+        constexpr Millis maxTime{60000};
+        const double missing = std::max(0.0, amount - this->tokens);
+        if (missing * msPerSecond >= static_cast<double>(maxTime.count) * perSecond) {
+            return maxTime;
         }
         return Millis{static_cast<std::int64_t>(std::ceil(missing * msPerSecond / perSecond))};
     }
@@ -52,13 +52,13 @@
     void add(Millis now, double cost)
     {
         this->decay(now);
-        this->perSecond += cost * msPerSecond / static_cast<double>(demandAveragedOver.count);
+        this->perSecond += cost * msPerSecond / static_cast<double>(demandAveragingTime.count);
     }
 
     void decay(Millis now)
     {
         const auto passed = static_cast<double>(std::max<std::int64_t>(0, (now - this->updatedAt).count));
-        this->perSecond *= std::exp(-passed / static_cast<double>(demandAveragedOver.count));
+        this->perSecond *= std::exp(-passed / static_cast<double>(demandAveragingTime.count));
         this->updatedAt = std::max(this->updatedAt, now);
     }
 };
@@ -70,10 +70,10 @@
     double perSecond = 0;
 };
 
-constexpr Millis sampleEvery{500};
-constexpr std::size_t mostSamples = 128;
+constexpr Millis sampleInterval{500};
+constexpr std::size_t maxSamples = 128;
 /** A report may be this much older than the sum that it is in, in a fleet of today. */
-constexpr Millis reportInSum{2000};
+constexpr Millis maxReportAge{2000};
 
 struct Organisation
 {
@@ -82,7 +82,7 @@
     std::array<Bucket, requestClassCount> classes;
     Demand own;
     /** What was reported, the oldest first. */
-    std::deque<Sample> reported;
+    std::deque<Sample> samples;
     double fleetDemand = 0;
     std::optional<Millis> fleetDemandAt;
 };
@@ -98,26 +98,27 @@
 {
 public:
     /** The part of any limit of the organisation that is this router's. */
-    double part(Millis now, Organisation &organisation) const
+    double shareFraction(Millis now, Organisation &organisation) const
     {
-        const double even = 1 / this->liveRouters;
-        const bool fresh = organisation.fleetDemandAt && now - *organisation.fleetDemandAt < this->freshFor;
-        if (!fresh || organisation.fleetDemand <= 0) {
-            return even;
+        const double evenShare = 1 / this->liveRouters;
+        const bool isFresh = organisation.fleetDemandAt && now - *organisation.fleetDemandAt < this->demandTtl;
+        if (!isFresh || organisation.fleetDemand <= 0) {
+            return evenShare;
         }
         organisation.own.decay(now);
         // The sum may be older than this router's own surge: it is at least what this router sees itself.
-        const double own = this->ownInSum(organisation);
+        const double own = this->ownDemandInSum(organisation);
         const double fleet = std::max(organisation.fleetDemand, own);
         const double limit = organisation.limits.perSecond;
         if (fleet < limit) {
             // Goes wrong with a share by demand alone: of a quiet organisation's 0.6 requests a second each router's
             // measure is mostly noise, and the share that follows it refuses far below the limit.
-            const double withSlack = (own + (limit - fleet) / this->liveRouters) / limit;
-            return std::min(std::max(even, withSlack), maxShareOverEven * even);
+            const double shareWithSlack = (own + (limit - fleet) / this->liveRouters) / limit;
+            return std::min(std::max(evenShare, shareWithSlack), maxShareToEvenRatio * evenShare);
         }
-        const double byDemand = own / fleet;
-        return std::min(evenPart * even + (1 - evenPart) * byDemand, maxShareOverEven * even);
+        const double shareByDemand = own / fleet;
+        return std::min(evenShareFraction * evenShare + (1 - evenShareFraction) * shareByDemand,
+                        maxShareToEvenRatio * evenShare);
     }
 
     /**
@@ -125,11 +126,11 @@
      * surges at all routers at once, each finds its own demand as large as the old sum of all, and lets nearly the
      * whole limit through, seven times in all, until the sums catch up.
      */
-    double ownInSum(const Organisation &organisation) const
+    double ownDemandInSum(const Organisation &organisation) const
     {
         double own = organisation.own.perSecond;
-        const Millis oldest = *organisation.fleetDemandAt - std::max(reportInSum, this->freshFor / 3);
-        for (const Sample &sample : organisation.reported) {
+        const Millis oldest = *organisation.fleetDemandAt - std::max(maxReportAge, this->demandTtl / 3);
+        for (const Sample &sample : organisation.samples) {
             if (sample.at >= oldest && sample.at <= *organisation.fleetDemandAt) {
                 own = std::min(own, sample.perSecond);
             }
@@ -137,19 +138,19 @@
         return own;
     }
 
-    static void fill(Millis now, Organisation &organisation, double part)
+    static void fill(Millis now, Organisation &organisation, double shareFraction)
     {
         const OrganisationLimits &limits = organisation.limits;
-        const double share = limits.perSecond * part;
+        const double share = limits.perSecond * shareFraction;
         organisation.whole.fill(now, share, burstOf(share, limits.burstSeconds));
         for (std::size_t index = 0; index < requestClassCount; ++index) {
-            const double classShare = limits.perClass[index] * part;
+            const double classShare = limits.perClass[index] * shareFraction;
             organisation.classes[index].fill(now, classShare, burstOf(classShare, limits.burstSeconds));
         }
     }
 
     /** The class whose bucket pays: the request's own, else a less important one with enough left. */
-    static std::optional<std::size_t> payer(const Organisation &organisation, std::size_t own, double cost)
+    static std::optional<std::size_t> findPayer(const Organisation &organisation, std::size_t own, double cost)
     {
         for (std::size_t index = own; index < requestClassCount; ++index) {
             if (organisation.limits.perClass[index] > 0 && organisation.classes[index].tokens >= cost) {
@@ -161,7 +162,7 @@
 
     std::unordered_map<OrganisationId, Organisation> organisations;
     double liveRouters = 1;
-    Millis freshFor = demandFreshFor;
+    Millis demandTtl = minDemandTtl;
 };
 
 RateLimiter::RateLimiter() : d(std::make_unique<Private>())
@@ -185,7 +186,7 @@
 void RateLimiter::setLiveRouters(std::size_t count)
 {
     this->d->liveRouters = static_cast<double>(std::max<std::size_t>(1, count));
-    this->d->freshFor = std::max(demandFreshFor, demandFreshPerRouter * static_cast<std::int64_t>(count));
+    this->d->demandTtl = std::max(minDemandTtl, demandTtlPerRouter * static_cast<std::int64_t>(count));
 }
 
 void RateLimiter::setFleetDemand(Millis now, const OrganisationDemand &demand)
@@ -207,11 +208,11 @@
     Organisation &known = found->second;
     // What is refused counts too: shares follow what callers want, or a router refused once would never catch up.
     known.own.add(now, cost);
-    const double part = this->d->part(now, known);
-    Private::fill(now, known, part);
+    const double shareFraction = this->d->shareFraction(now, known);
+    Private::fill(now, known, shareFraction);
     const auto own = static_cast<std::size_t>(requestClass);
     const bool classLimited = known.limits.perClass[own] > 0;
-    const std::optional<std::size_t> payer = classLimited ? Private::payer(known, own, cost) : std::nullopt;
+    const std::optional<std::size_t> payer = classLimited ? Private::findPayer(known, own, cost) : std::nullopt;
     const bool classAllows = !classLimited || payer.has_value();
     if (known.whole.tokens >= cost && classAllows) {
         known.whole.tokens -= cost;
@@ -220,27 +221,28 @@
         }
         return {};
     }
-    Millis retryAfter = known.whole.timeTo(cost, known.limits.perSecond * part);
+    Millis retryAfter = known.whole.timeUntil(cost, known.limits.perSecond * shareFraction);
     if (!classAllows) {
-        retryAfter = std::max(retryAfter, known.classes[own].timeTo(cost, known.limits.perClass[own] * part));
+        retryAfter
+            = std::max(retryAfter, known.classes[own].timeUntil(cost, known.limits.perClass[own] * shareFraction));
     }
     return {false, std::max(Millis{1}, retryAfter)};
 }
 
-std::vector<OrganisationDemand> RateLimiter::reports(Millis now)
+std::vector<OrganisationDemand> RateLimiter::collectReports(Millis now)
 {
     std::vector<OrganisationDemand> near;
     for (auto &item : this->d->organisations) {
         Organisation &organisation = item.second;
         organisation.own.decay(now);
-        if (organisation.reported.empty() || now - organisation.reported.back().at >= sampleEvery) {
-            organisation.reported.push_back(Sample{now, organisation.own.perSecond});
+        if (organisation.samples.empty() || now - organisation.samples.back().at >= sampleInterval) {
+            organisation.samples.push_back(Sample{now, organisation.own.perSecond});
         }
-        if (organisation.reported.size() > mostSamples) {
-            organisation.reported.pop_front();
+        if (organisation.samples.size() > maxSamples) {
+            organisation.samples.pop_front();
         }
-        const double even = organisation.limits.perSecond / this->d->liveRouters;
-        if (even > 0 && organisation.own.perSecond >= reportedFrom * even) {
+        const double evenShare = organisation.limits.perSecond / this->d->liveRouters;
+        if (evenShare > 0 && organisation.own.perSecond >= minReportedFraction * evenShare) {
             near.push_back({item.first, organisation.own.perSecond});
         }
     }
@@ -250,8 +252,9 @@
 double RateLimiter::share(Millis now, const OrganisationId &organisation)
 {
     const auto found = this->d->organisations.find(organisation);
-    return found == this->d->organisations.end() ? 0
-                                                 : found->second.limits.perSecond * this->d->part(now, found->second);
+    return found == this->d->organisations.end()
+        ? 0
+        : found->second.limits.perSecond * this->d->shareFraction(now, found->second);
 }
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/limits/ratelimit.h
+++ b/sequoiausher/coordination/limits/ratelimit.h
@@ -19,15 +19,15 @@
 // since nobody needs to be refused then; these add up to 2 L at most, for as long as it takes a surge to show in the
 // sums. Own demand is what this router told for the sum, not the present one, or all would surge past the old sum. The
 // demand of the fleet comes from outside (setFleetDemand), from sums that ride on messages that are sent anyway, and
-// only for organisations near their limit (reports()). Without a fresh one the share is L / N: static, without any
-// traffic, and right where the balancer spreads an organisation's requests evenly. Central counting (asking an owner
-// for each request) was ruled out: a round trip before each request, and an outage of the owner would stop an
+// only for organisations near their limit (collectReports()). Without a fresh one the share is L / N: static, without
+// any traffic, and right where the balancer spreads an organisation's requests evenly. Central counting (asking an
+// owner for each request) was ruled out: a round trip before each request, and an outage of the owner would stop an
 // organisation or lift its limit.
 //
 // The error. With an exact demand the shares add up to L. Where the fleet's demand is known too low by a factor
 // (1 - e), they add up to at most L x (f + (1 - f) / (1 - e)): 15% above L for e = 0.16, as when a demand that
 // doubles in 10 s is known 2.5 s late. Each bucket adds burstSeconds x its share, once. A router's share is bounded
-// to maxShareOverEven times the even one, so that a wrong sum cannot lift a limit altogether. In a partition whose
+// to maxShareToEvenRatio times the even one, so that a wrong sum cannot lift a limit altogether. In a partition whose
 // sides keep an old list, N counts all routers: a side admits at most its part by the static share. Once the list
 // shrinks to the side each side admits L.
 //
@@ -73,16 +73,16 @@
 /** A bucket holds at least this much, or at 1,300 routers a share below one a second would refuse everything. */
 inline constexpr double minimumBurst = 4;
 /** The part of a limit that is shared evenly, for routers that start to see an organisation. */
-inline constexpr double evenPart = 0.2;
-inline constexpr double maxShareOverEven = 20;
-/** A fleet demand older than this is not used; in large fleets, where demands are told less often, demandFreshPerRouter
+inline constexpr double evenShareFraction = 0.2;
+inline constexpr double maxShareToEvenRatio = 20;
+/** A fleet demand older than this is not used; in large fleets, where demands are told less often, demandTtlPerRouter
  * for each router where that is longer. */
-inline constexpr Millis demandFreshFor{10000};
-inline constexpr Millis demandFreshPerRouter{30};
+inline constexpr Millis minDemandTtl{10000};
+inline constexpr Millis demandTtlPerRouter{30};
 /** The time over which a router's own demand is averaged. */
-inline constexpr Millis demandAveragedOver{5000};
+inline constexpr Millis demandAveragingTime{5000};
 /** Demand is reported from this part of the even share on: others cannot be near their limit. */
-inline constexpr double reportedFrom = 0.25;
+inline constexpr double minReportedFraction = 0.25;
 
 class RateLimiter
 {
@@ -103,7 +103,7 @@
     /** Takes cost for one request, or says when to come back. Organisations without limits are always allowed. */
     LimitDecision take(Millis now, const OrganisationId &organisation, RequestClass requestClass, double cost);
     /** What this router should tell: the demand of each organisation that may be near its limit. */
-    std::vector<OrganisationDemand> reports(Millis now);
+    std::vector<OrganisationDemand> collectReports(Millis now);
     /** This router's share of the organisation's limit now, per second; 0 where it has none. */
     double share(Millis now, const OrganisationId &organisation);
 
--- a/sequoiausher/coordination/limits/ratelimittest.cpp
+++ b/sequoiausher/coordination/limits/ratelimittest.cpp
@@ -96,7 +96,7 @@
             if (row.known && now % 2000 == 0) {
                 double fleet = 0;
                 for (RateLimiter &router : routers) {
-                    for (const OrganisationDemand &demand : router.reports(Millis{now})) {
+                    for (const OrganisationDemand &demand : router.collectReports(Millis{now})) {
                         fleet += demand.perSecond;
                     }
                 }
@@ -123,7 +123,7 @@
     limiter.take(Millis{0}, acme, urgent, 1);
     limiter.setFleetDemand(Millis{0}, {acme, 0.2});
     CHECK(limiter.share(Millis{0}, acme) > 10);
-    CHECK(limiter.share(demandFreshFor, acme) == doctest::Approx(10));
+    CHECK(limiter.share(minDemandTtl, acme) == doctest::Approx(10));
 }
 
 TEST_CASE("whatever comes, a router lets through no more than burst and rate of its largest share")
@@ -134,7 +134,7 @@
         const auto routers = *rc::gen::inRange<std::size_t>(1, 50);
         limiter.setLimits(acme, {limit, 2, {}});
         limiter.setLiveRouters(routers);
-        const double largest = std::min(limit, maxShareOverEven * limit / static_cast<double>(routers));
+        const double largest = std::min(limit, maxShareToEvenRatio * limit / static_cast<double>(routers));
         Millis now{0};
         double allowed = 0;
         for (int step = 0; step < 300; ++step) {
--- a/sequoiausher/coordination/limits/askwindows.h
+++ b/sequoiausher/coordination/limits/reservationwindows.h
@@ -2,9 +2,9 @@
 
 // How many requests of one organisation and class may be asking a pool's owner for a place at a time.
 //
-//     if (windows.isOpen(now, organisation, requestClass)) { windows.asks(organisation, requestClass); ask the owner }
-//     windows.full(now + pause, organisation, requestClass);   // the owner had no room for it
-//     windows.answered(organisation, requestClass);            // it got a place, or no longer asks
+//     if (windows.isOpen(now, organisation, requestClass)) { windows.startReservation(organisation, requestClass); ask
+//     the owner } windows.recordFull(now + pause, organisation, requestClass);   // the owner had no room for it
+//     windows.endReservation(organisation, requestClass);            // it got a place, or no longer startReservation
 //
 // A full pool is full for a class and for an organisation that holds more than its share, while others still have
 // room. Goes wrong if one such answer held back the whole queue: each background request that finds no room makes the
@@ -24,28 +24,28 @@
 namespace Sequoiausher {
 
 /** The windows of one pool. Not thread-safe. */
-class AskWindows
+class ReservationWindows
 {
 public:
     /** A window that has grown to this size is no window any more. */
-    static constexpr std::size_t widest = 64;
+    static constexpr std::size_t maxLimit = 64;
 
     /** Whether another one may ask now. */
     bool isOpen(Millis now, const OrganisationId &organisation, RequestClass requestClass) const;
 
-    void asks(const OrganisationId &organisation, RequestClass requestClass);
-    void answered(const OrganisationId &organisation, RequestClass requestClass);
-    void full(Millis pausedUntil, const OrganisationId &organisation, RequestClass requestClass);
+    void startReservation(const OrganisationId &organisation, RequestClass requestClass);
+    void endReservation(const OrganisationId &organisation, RequestClass requestClass);
+    void recordFull(Millis pausedUntil, const OrganisationId &organisation, RequestClass requestClass);
 
     /** The first end of a pause after now, or Millis::never(). */
-    Millis nextEnd(Millis now) const;
+    Millis nextPauseEnd(Millis now) const;
 
 private:
     struct Window
     {
-        std::size_t asking = 0;
+        std::size_t pending = 0;
         /** 0 for none. */
-        std::size_t most = 0;
+        std::size_t limit = 0;
         Millis pausedUntil;
     };
 
--- a/sequoiausher/coordination/limits/askwindowstest.cpp
+++ b/sequoiausher/coordination/limits/reservationwindowstest.cpp
@@ -1,4 +1,4 @@
-#include "sequoiausher/coordination/limits/askwindows.h"
+#include "sequoiausher/coordination/limits/reservationwindows.h"
 
 #include <doctest/doctest.h>
 
@@ -17,32 +17,32 @@
 
 TEST_CASE("an answer of full closes the window of its organisation and class alone")
 {
-    AskWindows windows;
-    windows.asks(one, interactive);
-    windows.full(Millis{50}, one, interactive);
+    ReservationWindows windows;
+    windows.startReservation(one, interactive);
+    windows.recordFull(Millis{50}, one, interactive);
     CHECK(!windows.isOpen(Millis{49}, one, interactive));
     CHECK(windows.isOpen(Millis{50}, one, interactive));
     CHECK(windows.isOpen(Millis{0}, one, urgent));
     CHECK(windows.isOpen(Millis{0}, other, interactive));
-    CHECK(windows.nextEnd(Millis{0}) == Millis{50});
-    CHECK(windows.nextEnd(Millis{50}) == Millis::never());
+    CHECK(windows.nextPauseEnd(Millis{0}) == Millis{50});
+    CHECK(windows.nextPauseEnd(Millis{50}) == Millis::never());
 }
 
 TEST_CASE("the window grows by one with each place got, until there is none")
 {
-    AskWindows windows;
-    windows.asks(one, interactive);
-    windows.full(Millis{0}, one, interactive);
+    ReservationWindows windows;
+    windows.startReservation(one, interactive);
+    windows.recordFull(Millis{0}, one, interactive);
     std::size_t most = 0;
-    for (std::size_t round = 1; round < AskWindows::widest; ++round) {
+    for (std::size_t round = 1; round < ReservationWindows::maxLimit; ++round) {
         std::size_t asked = 0;
-        while (asked <= AskWindows::widest && windows.isOpen(Millis{1}, one, interactive)) {
-            windows.asks(one, interactive);
+        while (asked <= ReservationWindows::maxLimit && windows.isOpen(Millis{1}, one, interactive)) {
+            windows.startReservation(one, interactive);
             asked += 1;
         }
         most = std::max(most, asked);
         CHECK(asked == (round == 1 ? 1 : 2));
-        windows.answered(one, interactive);
+        windows.endReservation(one, interactive);
     }
     CHECK(windows.isOpen(Millis{1}, one, interactive));
     CHECK(most == 2);
@@ -50,12 +50,12 @@
 
 TEST_CASE("with several that ask, one that is refused leaves a window for the others")
 {
-    AskWindows windows;
+    ReservationWindows windows;
     for (int i = 0; i < 5; ++i) {
-        windows.asks(one, interactive);
+        windows.startReservation(one, interactive);
     }
-    windows.full(Millis{0}, one, interactive);
+    windows.recordFull(Millis{0}, one, interactive);
     CHECK(!windows.isOpen(Millis{1}, one, interactive));
-    windows.answered(one, interactive);
+    windows.endReservation(one, interactive);
     CHECK(windows.isOpen(Millis{1}, one, interactive));
 }
--- a/sequoiausher/coordination/limits/retrybudget.cpp
+++ b/sequoiausher/coordination/limits/retrybudget.cpp
@@ -4,22 +4,22 @@
 
 namespace Sequoiausher {
 
-RetryBudget::RetryBudget(const RetryBudgetSettings &budget) : settings(budget), tokens(budget.saved)
+RetryBudget::RetryBudget(const RetryBudgetSettings &budget) : settings(budget), tokens(budget.maxTokens)
 {
 }
 
 void RetryBudget::countRequest(Millis now)
 {
-    constexpr double whole = 100;
-    this->fill(now, this->settings.percent / whole);
+    constexpr double percentScale = 100;
+    this->fill(now, this->settings.percent / percentScale);
 }
 
 bool RetryBudget::tryRetry(Millis now)
 {
     this->fill(now, 0);
     // Hundredths added up ten times may come to a little less than one.
-    constexpr double rounding = 1e-9;
-    if (this->tokens + rounding < 1) {
+    constexpr double tolerance = 1e-9;
+    if (this->tokens + tolerance < 1) {
         return false;
     }
     this->tokens -= 1;
@@ -31,7 +31,7 @@
     constexpr double msPerSecond = 1000;
     const Millis passed = std::max(Millis{0}, now - this->filledAt);
     const double byTime = static_cast<double>(passed.count) * this->settings.perSecond / msPerSecond;
-    this->tokens = std::min(this->settings.saved, this->tokens + earned + byTime);
+    this->tokens = std::min(this->settings.maxTokens, this->tokens + earned + byTime);
     this->filledAt = std::max(this->filledAt, now);
 }
 
--- a/sequoiausher/coordination/limits/retrybudget.h
+++ b/sequoiausher/coordination/limits/retrybudget.h
@@ -21,7 +21,7 @@
     /** Retries for each hundred first tries. */
     std::uint32_t percent = 10;
     /** At most this many retries are saved up, and as many are there at the start. */
-    double saved = 10;
+    double maxTokens = 10;
     /** Retries that come in for each second whatever the traffic, or a quiet router could never retry. */
     double perSecond = 0.1;
 };
--- a/sequoiausher/coordination/limits/rulegates.h
+++ b/sequoiausher/coordination/limits/rulequeues.h
@@ -3,9 +3,9 @@
 // What one organisation may have in flight by one rule, in this router: a queue of its own before the pool's queue, so
 // that an organisation at its limit waits for its own requests and takes no place from others.
 //
-//     RuleGates gates;
-//     const QueueDecision decision = gates.offer(now, gate, entry, actions);
-//     gates.leave(now, gate, request, actions);        // at the request's end, however it ended
+//     RuleQueues queues;
+//     const QueueDecision decision = queues.offer(now, key, entry, actions);
+//     queues.leave(now, key, request, actions);        // at the request's end, however it ended
 //
 // Each gate is an AdmissionQueue with as many slots as the rule allows in flight: urgent first, background shed first.
 // A gate where nothing waits or runs takes no memory. A rule whose numbers change gets a new gate; what went through
@@ -19,7 +19,7 @@
 namespace Sequoiausher {
 
 /** Which gate: the organisation, the rule that decided, and its numbers. */
-struct RuleGate
+struct RuleQueueKey
 {
     OrganisationId organisation;
     std::string document;
@@ -27,24 +27,25 @@
     std::uint32_t inFlight = 0;
     std::uint32_t queueLength = 0;
 
-    auto operator<=>(const RuleGate &) const = default;
+    auto operator<=>(const RuleQueueKey &) const = default;
 };
 
-/** The gates of one router. Not thread-safe. */
-class RuleGates
+/** The queues of one router. Not thread-safe. */
+class RuleQueues
 {
 public:
     /** A request arrives before its gate; see DispatchQueue::offer(). */
-    QueueDecision offer(Millis now, const RuleGate &gate, const QueueEntry &entry, std::vector<QueueAction> &actions);
+    QueueDecision
+    offer(Millis now, const RuleQueueKey &key, const QueueEntry &entry, std::vector<QueueAction> &actions);
     /** The request waits no more or is done with its target; lets the next one through. */
-    void leave(Millis now, const RuleGate &gate, const RequestId &request, std::vector<QueueAction> &actions);
-    /** Refuses those whose time cannot be met any more, and drops gates that are empty. */
+    void leave(Millis now, const RuleQueueKey &key, const RequestId &request, std::vector<QueueAction> &actions);
+    /** Refuses those whose time cannot be met any more, and drops queues that are empty. */
     void tick(Millis now, std::vector<QueueAction> &actions);
     std::size_t waiting() const;
     std::size_t count() const;
 
 private:
-    std::map<RuleGate, AdmissionQueue> gates;
+    std::map<RuleQueueKey, AdmissionQueue> queues;
 };
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/limits/rulegatestest.cpp
+++ b/sequoiausher/coordination/limits/rulequeuestest.cpp
@@ -1,4 +1,4 @@
-#include "sequoiausher/coordination/limits/rulegates.h"
+#include "sequoiausher/coordination/limits/rulequeues.h"
 
 #include <doctest/doctest.h>
 
@@ -15,23 +15,23 @@
     return entry;
 }
 
-const RuleGate gate{OrganisationId{"large"}, "rules/fleet", "plates", 2, 1};
+const RuleQueueKey key{OrganisationId{"large"}, "rules/fleet", "plates", 2, 1};
 
 } // namespace
 
 TEST_CASE("an organisation has at most then.in_flight at once, and the next goes on when one ends")
 {
-    RuleGates gates;
+    RuleQueues queues;
     std::vector<QueueAction> actions;
     const Millis now{1000};
-    CHECK(gates.offer(now, gate, entryOf(1, RequestClass::Interactive), actions).verdict == QueueVerdict::Dispatch);
-    CHECK(gates.offer(now, gate, entryOf(2, RequestClass::Interactive), actions).verdict == QueueVerdict::Dispatch);
-    CHECK(gates.offer(now, gate, entryOf(3, RequestClass::Interactive), actions).verdict == QueueVerdict::Queue);
+    CHECK(queues.offer(now, key, entryOf(1, RequestClass::Interactive), actions).verdict == QueueVerdict::Dispatch);
+    CHECK(queues.offer(now, key, entryOf(2, RequestClass::Interactive), actions).verdict == QueueVerdict::Dispatch);
+    CHECK(queues.offer(now, key, entryOf(3, RequestClass::Interactive), actions).verdict == QueueVerdict::Queue);
     // Another organisation's gate is its own.
-    RuleGate other = gate;
+    RuleQueueKey other = key;
     other.organisation = OrganisationId{"small"};
-    CHECK(gates.offer(now, other, entryOf(4, RequestClass::Interactive), actions).verdict == QueueVerdict::Dispatch);
-    gates.leave(now, gate, RequestId{1, 1}, actions);
+    CHECK(queues.offer(now, other, entryOf(4, RequestClass::Interactive), actions).verdict == QueueVerdict::Dispatch);
+    queues.leave(now, key, RequestId{1, 1}, actions);
     REQUIRE(actions.size() == 1);
     CHECK(actions[0].entry.request == RequestId{3, 3});
     CHECK(actions[0].decision.verdict == QueueVerdict::Dispatch);
@@ -39,13 +39,13 @@
 
 TEST_CASE("above then.queue_length the least important one is refused at once, with a time to come back")
 {
-    RuleGates gates;
+    RuleQueues queues;
     std::vector<QueueAction> actions;
     const Millis now{1000};
-    gates.offer(now, gate, entryOf(1, RequestClass::Urgent), actions);
-    gates.offer(now, gate, entryOf(2, RequestClass::Urgent), actions);
-    CHECK(gates.offer(now, gate, entryOf(3, RequestClass::Background), actions).verdict == QueueVerdict::Queue);
-    CHECK(gates.offer(now, gate, entryOf(4, RequestClass::Urgent), actions).verdict == QueueVerdict::Queue);
+    queues.offer(now, key, entryOf(1, RequestClass::Urgent), actions);
+    queues.offer(now, key, entryOf(2, RequestClass::Urgent), actions);
+    CHECK(queues.offer(now, key, entryOf(3, RequestClass::Background), actions).verdict == QueueVerdict::Queue);
+    CHECK(queues.offer(now, key, entryOf(4, RequestClass::Urgent), actions).verdict == QueueVerdict::Queue);
     REQUIRE(actions.size() == 1);
     CHECK(actions[0].entry.request == RequestId{3, 3});
     CHECK(actions[0].decision.verdict == QueueVerdict::Refuse);
@@ -54,12 +54,12 @@
 
 TEST_CASE("an empty gate takes no memory")
 {
-    RuleGates gates;
+    RuleQueues queues;
     std::vector<QueueAction> actions;
-    gates.offer(Millis{1}, gate, entryOf(1, RequestClass::Urgent), actions);
-    gates.tick(Millis{2}, actions);
-    CHECK(gates.count() == 1);
-    gates.leave(Millis{3}, gate, RequestId{1, 1}, actions);
-    gates.tick(Millis{4}, actions);
-    CHECK(gates.count() == 0);
+    queues.offer(Millis{1}, key, entryOf(1, RequestClass::Urgent), actions);
+    queues.tick(Millis{2}, actions);
+    CHECK(queues.count() == 1);
+    queues.leave(Millis{3}, key, RequestId{1, 1}, actions);
+    queues.tick(Millis{4}, actions);
+    CHECK(queues.count() == 0);
 }
--- a/sequoiausher/coordination/limits/targethealth.cpp
+++ b/sequoiausher/coordination/limits/targethealth.cpp
@@ -10,7 +10,7 @@
 
 struct Failures
 {
-    std::uint32_t inARow = 0;
+    std::uint32_t consecutive = 0;
     /** 0 until the first pause. */
     Millis pause;
     Millis pausedUntil;
@@ -38,8 +38,8 @@
     void startPause(Millis now, Failures &failures) const
     {
         const bool again = failures.pause > Millis{0};
-        const Millis next = again ? failures.pause * 2 : this->settings.firstPause;
-        failures.pause = std::min(next, this->settings.longestPause);
+        const Millis next = again ? failures.pause * 2 : this->settings.initialPause;
+        failures.pause = std::min(next, this->settings.maxPause);
         failures.pausedUntil = now + failures.pause;
         failures.probeUntil.reset();
     }
@@ -56,7 +56,7 @@
 TargetHealth::TargetHealth(TargetHealth &&) noexcept = default;
 TargetHealth &TargetHealth::operator=(TargetHealth &&) noexcept = default;
 
-bool TargetHealth::mayTry(Millis now, const TargetId &target)
+bool TargetHealth::allowRequest(Millis now, const TargetId &target)
 {
     const auto found = this->d->targets.find(target);
     if (found == this->d->targets.end()) {
@@ -67,7 +67,7 @@
         return false;
     }
     if (failures.pause > Millis{0}) {
-        failures.probeUntil = now + this->d->settings.probeLimit;
+        failures.probeUntil = now + this->d->settings.probeTimeout;
     }
     return true;
 }
@@ -78,18 +78,18 @@
     return found != this->d->targets.end() && this->d->isPaused(now, found->second);
 }
 
-void TargetHealth::succeeded(const TargetId &target)
+void TargetHealth::recordSuccess(const TargetId &target)
 {
     this->d->targets.erase(target);
 }
 
-void TargetHealth::failed(Millis now, const TargetId &target)
+void TargetHealth::recordFailure(Millis now, const TargetId &target)
 {
     Failures &failures = this->d->targets[target];
-    ++failures.inARow;
+    ++failures.consecutive;
     // Requests sent before the pause fail late: they must not double it, or one bad moment pauses for minutes.
-    const bool lateNews = failures.pause > Millis{0} && now < failures.pausedUntil;
-    if (!lateNews && failures.inARow >= this->d->settings.failuresToPause) {
+    const bool isLate = failures.pause > Millis{0} && now < failures.pausedUntil;
+    if (!isLate && failures.consecutive >= this->d->settings.failuresToPause) {
         this->d->startPause(now, failures);
     }
 }
--- a/sequoiausher/coordination/limits/targethealth.h
+++ b/sequoiausher/coordination/limits/targethealth.h
@@ -3,8 +3,8 @@
 // Which targets a router leaves alone for a while, because its own requests to them failed one after another.
 //
 //     TargetHealth health({});
-//     if (health.mayTry(now, target)) { ... }
-//     health.failed(now, target);      // or health.succeeded(target)
+//     if (health.allowRequest(now, target)) { ... }
+//     health.recordFailure(now, target);      // or health.recordSuccess(target)
 //
 // States of a target: tried freely; paused after failuresToPause failures in a row; then one request at a time as a
 // probe: its success ends the matter, its failure doubles the pause. A probe that never ends counts as failed after
@@ -26,10 +26,10 @@
 struct TargetHealthSettings
 {
     std::uint32_t failuresToPause = 3;
-    Millis firstPause{500};
-    Millis longestPause{30000};
+    Millis initialPause{500};
+    Millis maxPause{30000};
     /** A probe without result is given up after this. */
-    Millis probeLimit{10000};
+    Millis probeTimeout{10000};
 };
 
 class TargetHealth
@@ -41,13 +41,13 @@
     TargetHealth &operator=(TargetHealth &&) noexcept;
 
     /** Whether a request may be sent. After a pause true counts as the probe: report how it ended. */
-    bool mayTry(Millis now, const TargetId &target);
+    bool allowRequest(Millis now, const TargetId &target);
     /** Whether the target is left alone now; does not start a probe. For choosing among targets. */
     bool isPaused(Millis now, const TargetId &target) const;
     /** A request came through: the target answered, whatever it said. */
-    void succeeded(const TargetId &target);
+    void recordSuccess(const TargetId &target);
     /** The target could not be reached, broke off or was silent. Not for refusals by the target. */
-    void failed(Millis now, const TargetId &target);
+    void recordFailure(Millis now, const TargetId &target);
     /** The target is gone from the lists, or came back as another incarnation. */
     void forget(const TargetId &target);
     /** Targets with failures; the others take no memory. */
--- a/sequoiausher/coordination/limits/targethealthtest.cpp
+++ b/sequoiausher/coordination/limits/targethealthtest.cpp
@@ -13,7 +13,7 @@
 {
     TargetHealth health({3, Millis{500}, Millis{1500}, Millis{10000}});
     for (int i = 0; i < 3; ++i) {
-        health.failed(Millis{0}, plate);
+        health.recordFailure(Millis{0}, plate);
     }
     return health;
 }
@@ -24,14 +24,14 @@
 {
     TargetHealth health({});
     for (int i = 0; i < 10; ++i) {
-        health.failed(Millis{0}, plate);
-        health.failed(Millis{0}, plate);
-        health.succeeded(plate);
+        health.recordFailure(Millis{0}, plate);
+        health.recordFailure(Millis{0}, plate);
+        health.recordSuccess(plate);
     }
-    CHECK(health.mayTry(Millis{0}, plate));
+    CHECK(health.allowRequest(Millis{0}, plate));
     CHECK(health.count() == 0);
     TargetHealth other = paused();
-    CHECK(!other.mayTry(Millis{499}, plate));
+    CHECK(!other.allowRequest(Millis{499}, plate));
     CHECK(other.isPaused(Millis{499}, plate));
     CHECK(!other.isPaused(Millis{500}, plate));
 }
@@ -39,27 +39,27 @@
 TEST_CASE("after the pause one probe at a time: success ends it, failure doubles it up to the longest")
 {
     TargetHealth health = paused();
-    CHECK(health.mayTry(Millis{500}, plate));
-    CHECK(!health.mayTry(Millis{501}, plate));
+    CHECK(health.allowRequest(Millis{500}, plate));
+    CHECK(!health.allowRequest(Millis{501}, plate));
     SUBCASE("success")
     {
-        health.succeeded(plate);
-        CHECK(health.mayTry(Millis{501}, plate));
-        CHECK(health.mayTry(Millis{501}, plate));
+        health.recordSuccess(plate);
+        CHECK(health.allowRequest(Millis{501}, plate));
+        CHECK(health.allowRequest(Millis{501}, plate));
     }
     SUBCASE("failure")
     {
-        health.failed(Millis{600}, plate);
-        CHECK(!health.mayTry(Millis{1599}, plate));
-        CHECK(health.mayTry(Millis{1600}, plate));
-        health.failed(Millis{1700}, plate);
-        CHECK(!health.mayTry(Millis{3199}, plate));
-        CHECK(health.mayTry(Millis{3200}, plate));
+        health.recordFailure(Millis{600}, plate);
+        CHECK(!health.allowRequest(Millis{1599}, plate));
+        CHECK(health.allowRequest(Millis{1600}, plate));
+        health.recordFailure(Millis{1700}, plate);
+        CHECK(!health.allowRequest(Millis{3199}, plate));
+        CHECK(health.allowRequest(Millis{3200}, plate));
     }
     SUBCASE("forgotten with its target")
     {
         health.forget(plate);
-        CHECK(health.mayTry(Millis{501}, plate));
+        CHECK(health.allowRequest(Millis{501}, plate));
     }
 }
 
@@ -68,9 +68,9 @@
 TEST_CASE("a probe without result is given up")
 {
     TargetHealth health = paused();
-    CHECK(health.mayTry(Millis{500}, plate));
-    CHECK(!health.mayTry(Millis{10499}, plate));
-    CHECK(health.mayTry(Millis{10500}, plate));
+    CHECK(health.allowRequest(Millis{500}, plate));
+    CHECK(!health.allowRequest(Millis{10499}, plate));
+    CHECK(health.allowRequest(Millis{10500}, plate));
 }
 
 // Symptom: one lost second pauses a target for half a minute. Sequence: thirty requests in flight fail together.
@@ -79,7 +79,7 @@
 {
     TargetHealth health = paused();
     for (int i = 0; i < 30; ++i) {
-        health.failed(Millis{10}, plate);
+        health.recordFailure(Millis{10}, plate);
     }
-    CHECK(health.mayTry(Millis{500}, plate));
+    CHECK(health.allowRequest(Millis{500}, plate));
 }
--- a/sequoiausher/coordination/membership/demandtabletest.cpp
+++ b/sequoiausher/coordination/membership/demandtabletest.cpp
@@ -29,7 +29,7 @@
     void exchange(Millis now)
     {
         for (std::size_t i = 0; i < routers; ++i) {
-            this->tables[i]->setOwn(this->limiters[i].reports(now));
+            this->tables[i]->setOwn(this->limiters[i].collectReports(now));
             for (const DemandReport &report : this->tables[i]->due(now, [this] { return this->names; })) {
                 for (std::size_t to = 0; to < routers; ++to) {
                     if (this->names[to] == report.collector) {
--- a/sequoiausher/transport/router/node.cpp
+++ b/sequoiausher/transport/router/node.cpp
@@ -158,7 +158,7 @@
     return this->d->rates.take(Millis::monotonicNow(), byRule, requestClass, 1);
 }
 
-QueueDecision Node::enqueueByRule(const RuleGate &gate, const QueueEntry &entry)
+QueueDecision Node::enqueueByRule(const RuleQueueKey &gate, const QueueEntry &entry)
 {
     std::vector<QueueAction> actions;
     QueueDecision decision;
@@ -171,7 +171,7 @@
     return decision;
 }
 
-void Node::dequeueByRule(const RuleGate &gate, const RequestId &request)
+void Node::dequeueByRule(const RuleQueueKey &gate, const RequestId &request)
 {
     std::vector<QueueAction> actions;
     {
@@ -188,25 +188,25 @@
         return {};
     }
     const std::scoped_lock lock(this->d->limitsMutex);
-    return this->d->guard.leftAlone(Millis::monotonicNow(), *view, excluded);
+    return this->d->guard.pausedTargets(Millis::monotonicNow(), *view, excluded);
 }
 
 void Node::targetTried(const TargetId &target)
 {
     const std::scoped_lock lock(this->d->limitsMutex);
-    this->d->guard.tried(Millis::monotonicNow(), target);
+    this->d->guard.recordAttempt(Millis::monotonicNow(), target);
 }
 
 void Node::targetAnswered(const TargetId &target)
 {
     const std::scoped_lock lock(this->d->limitsMutex);
-    this->d->guard.answered(target);
+    this->d->guard.recordSuccess(target);
 }
 
 void Node::targetFailed(const TargetId &target)
 {
     const std::scoped_lock lock(this->d->limitsMutex);
-    this->d->guard.failed(Millis::monotonicNow(), target);
+    this->d->guard.recordFailure(Millis::monotonicNow(), target);
 }
 
 void Node::countRequest(const PoolId &pool, std::uint32_t budgetPercent)
@@ -218,7 +218,7 @@
 bool Node::mayResend(const PoolId &pool, std::uint32_t budgetPercent)
 {
     const std::scoped_lock lock(this->d->limitsMutex);
-    return this->d->guard.mayResend(Millis::monotonicNow(), pool, budgetPercent);
+    return this->d->guard.tryResend(Millis::monotonicNow(), pool, budgetPercent);
 }
 
 QueueDecision Node::enqueue(const PoolId &pool, const QueueEntry &entry)
--- a/sequoiausher/transport/router/node.h
+++ b/sequoiausher/transport/router/node.h
@@ -16,7 +16,7 @@
 #include "sequoiausher/coordination/answers/holdersearch.h"
 #include "sequoiausher/coordination/claims/claimant.h"
 #include "sequoiausher/coordination/limits/ratelimit.h"
-#include "sequoiausher/coordination/limits/rulegates.h"
+#include "sequoiausher/coordination/limits/rulequeues.h"
 #include "sequoiausher/coordination/rules/decision.h"
 #include "sequoiausher/protocol/settings/fleetconfiguration.h"
 #include "sequoiausher/protocol/settings/routersettings.h"
@@ -114,8 +114,8 @@
     /** Whether the organisation may have one request more now by the rule that decided; a limit over the fleet. */
     LimitDecision takeRate(const OrganisationId &organisation, RequestClass requestClass, const Decision &decision);
     /** Queues a request before what its rule lets the organisation have in flight; Queue ends in queueDecided. */
-    QueueDecision enqueueByRule(const RuleGate &gate, const QueueEntry &entry);
-    void dequeueByRule(const RuleGate &gate, const RequestId &request);
+    QueueDecision enqueueByRule(const RuleQueueKey &gate, const QueueEntry &entry);
+    void dequeueByRule(const RuleQueueKey &gate, const RequestId &request);
     /** Queues a request before its pool; Queue ends in queueDecided. */
     QueueDecision enqueue(const PoolId &pool, const QueueEntry &entry);
     void requeue(const PoolId &pool, const RequestId &request, Millis retryAfter);
--- a/sequoiausher/transport/router/nodeprivate.cpp
+++ b/sequoiausher/transport/router/nodeprivate.cpp
@@ -317,7 +317,7 @@
     std::vector<OrganisationDemand> demands;
     {
         const std::scoped_lock lock(this->limitsMutex);
-        demands = this->rates.reports(now);
+        demands = this->rates.collectReports(now);
     }
     std::vector<ShardSum> sums;
     {
--- a/sequoiausher/transport/router/nodeprivate.h
+++ b/sequoiausher/transport/router/nodeprivate.h
@@ -111,7 +111,7 @@
     OrderedMutex limitsMutex{LockRank::Limits};
     RateLimiter rates;
     std::map<PoolId, std::unique_ptr<AdmissionQueue>> queues;
-    RuleGates gates;
+    RuleQueues gates;
     PoolGuard guard;
 
     AnswerTable answers;
--- a/sequoiausher/transport/router/queueplace.cpp
+++ b/sequoiausher/transport/router/queueplace.cpp
@@ -30,18 +30,18 @@
     return made;
 }
 
-std::optional<RuleGate> QueuePlace::gateOfRule() const
+std::optional<RuleQueueKey> QueuePlace::gateOfRule() const
 {
     const Decision &decision = this->order.decision;
     if (!decision.limits.inFlight) {
         return std::nullopt;
     }
     const auto fleetLength = static_cast<std::uint32_t>(this->node.settings().limits.queueLength);
-    return RuleGate{this->order.labels.organisation,
-                    decision.document,
-                    decision.rule,
-                    *decision.limits.inFlight,
-                    decision.limits.queueLength.value_or(fleetLength)};
+    return RuleQueueKey{this->order.labels.organisation,
+                        decision.document,
+                        decision.rule,
+                        *decision.limits.inFlight,
+                        decision.limits.queueLength.value_or(fleetLength)};
 }
 
 QueueDecision QueuePlace::enter(Millis begunAt)
--- a/sequoiausher/transport/router/queueplace.h
+++ b/sequoiausher/transport/router/queueplace.h
@@ -9,7 +9,7 @@
 //     place.leave();                                          // at the request's end
 
 #include "sequoiausher/coordination/limits/dispatchqueue.h"
-#include "sequoiausher/coordination/limits/rulegates.h"
+#include "sequoiausher/coordination/limits/rulequeues.h"
 #include "sequoiausher/transport/router/sessionorder.h"
 
 #include <optional>
@@ -35,12 +35,12 @@
 
 private:
     QueueEntry entryAt(Millis begunAt) const;
-    std::optional<RuleGate> gateOfRule() const;
+    std::optional<RuleQueueKey> gateOfRule() const;
 
     Node &node;
     const SessionOrder &order;
     QueueEntry entry;
-    std::optional<RuleGate> gate;
+    std::optional<RuleQueueKey> gate;
     bool atGate = false;
     bool inPool = false;
 };
