--- a/sequoiausher/coordination/admission/waitinglist.h
+++ b/sequoiausher/coordination/admission/waitinglist.h
@@ -9,9 +9,9 @@
 // Goes wrong without it: a freed place goes to whichever router asks first, so among the routers neither classes nor
 // shares hold, and one organisation's surge moves the others' first token though each router's queue is fair.
 //
-// Served in the order of a router's own queue: the classes take turns (classscheduler.h), organisations share fairly within
-// a class (fairflows.h). The list is soft state: each entry leaves after a short time and its router, which kept the
-// request, may ask again; a lost list costs no more than that. Nothing here is counted on a target.
+// Served in the order of a router's own queue: the classes take turns (classscheduler.h), organisations share fairly
+// within a class (fairflows.h). The list is soft state: each entry leaves after a short time and its router, which kept
+// the request, may ask again; a lost list costs no more than that. Nothing here is counted on a target.
 
 #include "sequoiausher/coordination/messages/admissionmessages.h"
 
--- a/sequoiausher/coordination/limits/admissionqueue.cpp
+++ b/sequoiausher/coordination/limits/admissionqueue.cpp
@@ -15,20 +15,23 @@
 constexpr auto interactive = static_cast<std::size_t>(RequestClass::Interactive);
 constexpr auto background = static_cast<std::size_t>(RequestClass::Background);
 
-/** How much one finished request moves the mean service time. */
+/** The weight of one finished request in the moving average of the service time. */
 constexpr double serviceTimeWeight = 1.0 / 16;
 
-/** On arrival the estimated wait may fill this part of the time left: estimates are means, and later ones overtake. */
+/**
+ * On arrival, the estimated wait may take up to this fraction of the time left. The rest is a reserve, since estimates
+ * are means and later requests may be put ahead.
+ */
 constexpr double maxWaitFraction = 0.8;
 
-/** A refused caller comes back up to this part later, by its request's id, so that they do not all return at once. */
+/** The retry delay grows by up to this fraction, depending on the request's id, so that refused callers spread out. */
 constexpr double retryAfterJitter = 0.25;
 
 struct InFlightRequest
 {
     QueueEntry entry;
     Millis dispatchedAt;
-    /** The owner has not answered yet, as far as this queue is told. */
+    /** Whether the owner's answer to the reservation is still awaited. */
     bool isReserving = true;
 };
 
@@ -62,7 +65,7 @@
         return this->windows.isOpen(now, organisation, static_cast<RequestClass>(index));
     }
 
-    /** Who of a class goes on next, of those that the owner did not just say full to. */
+    /** Returns the organisation to serve next in the class, among those with an open reservation window. */
     std::optional<OrganisationId> nextOrganisation(Millis now, std::size_t index) const
     {
         return this->classes[index].next(
@@ -75,7 +78,7 @@
         this->windows.startReservation(entry.organisation, entry.requestClass);
     }
 
-    /** The request no longer asks. */
+    /** Records that the request no longer awaits the owner's answer. */
     void endReservation(InFlightRequest &inFlightRequest)
     {
         if (inFlightRequest.isReserving) {
@@ -86,7 +89,8 @@
 
     void dispatchWaiting(Millis now, std::vector<QueueAction> &actions)
     {
-        // Between two checks a time may pass unseen; the target would then work for a caller that has given up.
+        // A deadline may have passed since the last check. Without this, a target would work for a caller that has
+        // given up.
         this->lastDispatchAttempt = now;
         this->refuseLate(now, false, actions);
         while (this->hasFreeSlot() && this->dispatchNext(now, actions)) {
@@ -114,7 +118,7 @@
         return true;
     }
 
-    /** The estimated wait of a request of this class with ahead others of the class before it. */
+    /** Estimates the wait of a request that has this many requests of its class ahead. */
     Millis estimateWait(Millis now, std::size_t index, std::size_t ahead) const
     {
         const double own = static_cast<double>(ahead) + 1;
@@ -151,7 +155,7 @@
         return {QueueVerdict::Refuse, reason, bounded + Millis{jitterMs}};
     }
 
-    /** The lowest class in which somebody waits, or that of arriving where it is lower. */
+    /** Returns the least important class among the waiting requests and arriving. */
     std::size_t lowestClass(const QueueEntry *arriving) const
     {
         std::size_t lowest = arriving ? static_cast<std::size_t>(arriving->requestClass) : 0;
@@ -163,7 +167,7 @@
         return lowest;
     }
 
-    /** Sheds one in the stated order. False where arriving itself is the one. */
+    /** Sheds one waiting request in the defined order. Returns false if arriving itself is to be refused instead. */
     bool shedOne(Millis now, const QueueEntry *arriving, std::vector<QueueAction> &actions)
     {
         const std::size_t lowest = this->lowestClass(arriving);
@@ -179,14 +183,14 @@
         return true;
     }
 
-    /** Refuses those whose time cannot be met. */
+    /** Refuses the requests that are not expected to meet their deadlines. */
     void refuseByEstimate(Millis now, std::vector<QueueAction> &actions)
     {
         this->lastCheck = now;
         this->refuseLate(now, true, actions);
     }
 
-    /** Refuses those whose time is up or, by the estimate, will be. */
+    /** Refuses the requests whose deadlines have passed, or with byEstimate are expected to pass. */
     void refuseLate(Millis now, bool byEstimate, std::vector<QueueAction> &actions)
     {
         std::vector<QueueAction> late;
@@ -210,9 +214,9 @@
     ClassScheduler scheduler;
     ReservationWindows windows;
     std::unordered_map<RequestId, InFlightRequest> inFlightRequests;
-    /** What this router can count on, with the part of the next place. */
+    /** The number of slots that the pool has room for; the fractional part is growth towards the next slot. */
     double effectiveSlots = 1;
-    /** Mean time in flight in milliseconds; 0 while nothing has finished: then every wait is taken to be met. */
+    /** Mean time in flight; 0 until a request has finished, so that no wait is considered too long before. */
     double meanServiceMs = 0;
     Millis pausedUntil;
     Millis lastCheck;
@@ -228,7 +232,8 @@
 QueueDecision AdmissionQueue::offer(Millis now, const QueueEntry &entry, std::vector<QueueAction> &actions)
 {
     const auto index = static_cast<std::size_t>(entry.requestClass);
-    // With a slot free, whoever waits is held back by what the owner said; the others need not wait for them.
+    // If a slot is free, the waiting requests wait because the owner refused a reservation of their organisation and
+    // class. Requests of others need not wait for them.
     const bool isNext = this->d->classes[index].countWaiting(entry.organisation) == 0;
     if (isNext && this->d->hasFreeSlot() && this->d->isOpen(now, entry.organisation, index)) {
         this->d->dispatch(now, entry);
@@ -286,7 +291,7 @@
     }
     const QueueEntry entry = found->second.entry;
     if (!found->second.isReserving) {
-        // It had a place before, and its target failed it.
+        // The first reservation was granted, but the target failed, and the owner had no room for another reservation.
         this->d->windows.startReservation(entry.organisation, entry.requestClass);
     }
     this->d->inFlightRequests.erase(found);
--- a/sequoiausher/coordination/limits/admissionqueue.h
+++ b/sequoiausher/coordination/limits/admissionqueue.h
@@ -1,24 +1,25 @@
 #pragma once
 
-// The queue that keeps one organisation's surge away from the others, and sheds in a stated order.
+// A queue that isolates organisations from each other's surges, and sheds requests in a defined order.
 //
 //     AdmissionQueue queue({.slots = 64, .maxWaiting = 256});
 //
-// Served: urgent first, then interactive, then background; but of any 8 dispatches in a row while interactive
-// requests wait at least one is interactive, and of any 33 while background ones wait at least one is background, so
-// nothing starves. Within a class organisations share fairly (fairflows.h).
+// Dispatch order: urgent requests first, then interactive, then background. To prevent starvation, at least one of any
+// 8 consecutive dispatches is interactive while interactive requests wait, and at least one of any 33 is background
+// while background requests wait. Within a class, organisations share fairly (fairflows.h).
 //
-// Shed, when it is full: background first, then interactive, urgent last. Within a class the organisation with most
-// work waiting loses its newest request; this may be the one that arrives.
+// Shedding, when the queue is full: background requests first, then interactive, urgent last. Within a class, the
+// newest request of the organisation with the most work waiting is shed, which may be the arriving request.
 //
-// Refused at once: a request that would not go on before its dispatchBy, by the number that would be served before it
-// and the observed rate. It hears so on arrival, or on the first tick at which others that came before it have made
-// it so; it is never held until its time is up.
+// Deadlines: a request is refused if it is not expected to be dispatched before its dispatchBy, estimated from the
+// number of requests ahead of it and the observed service rate. This happens on arrival, or on the first check after
+// other requests were put ahead of it, so the caller does not wait until its deadline for a refusal.
 //
-// Slots: how many requests may be in flight. When the owner of the pool says that there is no room, this holds back
-// the request's organisation and class alone (reservationwindows.h): a pool is full for background work before it is for urgent
-// requests. What the router can count on, for the estimates, shrinks to what is in flight and grows again by one for
-// each round of finished requests, since what the pool gives to one of many routers changes all the time.
+// Slots: how many requests may be in flight. If the owner of the pool has no room for a request, only requests of the
+// same organisation and class are held back (reservationwindows.h), since a pool is full for background requests before
+// it is full for urgent ones. The room that the pool has for one of many routers changes continually. So the number of
+// slots that the estimates are based on shrinks to the number of requests in flight when a pool is full, and grows by
+// one with each round of finished requests.
 
 #include "sequoiausher/coordination/limits/classscheduler.h"
 #include "sequoiausher/coordination/limits/dispatchqueue.h"
@@ -28,16 +29,16 @@
 
 namespace Sequoiausher {
 
-/** Bounds of a queue. */
+/** The limits of a queue. */
 struct AdmissionQueueSettings
 {
-    /** At most this many in flight at once. */
+    /** The maximum number of requests in flight. */
     std::size_t slots = 64;
-    /** At most this many waiting; memory is some 300 bytes for each. */
+    /** The maximum number of waiting requests, which take about 300 bytes each. */
     std::size_t maxWaiting = 256;
-    /** How often waiting requests are checked against their time. */
+    /** The interval of checks whether waiting requests can meet their deadlines. */
     Millis checkInterval{50};
-    /** Bounds of what a refused caller is told. */
+    /** The range of the retry delays for refused requests; jitter comes on top. */
     Millis minRetryAfter{1000};
     Millis maxRetryAfter{30000};
 };
@@ -58,10 +59,10 @@
     std::size_t waiting() const override;
     std::size_t inFlight() const override;
 
-    /** The request as it was offered, while it is dispatched and not done; none otherwise. */
+    /** Returns the request as it was offered while it is in flight; std::nullopt otherwise. */
     std::optional<QueueEntry> dispatched(const RequestId &request) const;
 
-    /** What this router can count on at present, at most its slots. */
+    /** The number of requests that the pool currently has room for from this router, at most the configured slots. */
     std::size_t slots() const;
 
 private:
--- a/sequoiausher/coordination/limits/admissionqueuetest.cpp
+++ b/sequoiausher/coordination/limits/admissionqueuetest.cpp
@@ -19,7 +19,7 @@
     return {RequestId{0, id}, OrganisationId{organisation}, requestClass, by, 1};
 }
 
-/** One slot and four places to wait, with the slot taken by request 1000. */
+/** A queue with one slot, which request 1000 occupies, and by default room for four waiting requests. */
 struct Busy
 {
     explicit Busy(std::size_t maxWaiting = 4) : queue({1, maxWaiting, Millis{50}, Millis{1000}, Millis{30000}})
@@ -27,7 +27,7 @@
         this->queue.offer(Millis{0}, entryOf(1000, "first"), this->actions);
     }
 
-    /** Ends what is in flight and says what goes on in its place. */
+    /** Finishes the request in flight, and returns the one that is dispatched next. */
     QueueEntry next(Millis now)
     {
         std::vector<QueueAction> dispatched;
@@ -44,14 +44,14 @@
 
 } // namespace
 
-TEST_CASE("shed order: background first, urgent last, within a class the organisation with most waiting")
+TEST_CASE("background is shed first and urgent last, within a class from the organisation with the most waiting")
 {
     struct Row
     {
         const char *what;
         std::vector<std::pair<const char *, RequestClass>> waiting;
         std::pair<const char *, RequestClass> arriving;
-        /** The place of the one shed; -1: the arriving one. */
+        /** The index of the request that is shed; -1 for the arriving one. */
         int shed;
     };
     constexpr auto urgent = RequestClass::Urgent;
@@ -92,9 +92,9 @@
     }
 }
 
-// Symptom: a garage clerk's check is never answered on a review day. Sequence: urgent requests arrive faster than they
-// are served. Cause: strict priority.
-TEST_CASE("an urgent flood starves neither interactive nor background beyond the stated bounds")
+// Guards against starvation: with strict priority, other requests would never be answered while urgent requests arrive
+// faster than they are served.
+TEST_CASE("many urgent requests delay neither interactive nor background requests beyond the documented bounds")
 {
     Busy busy(1000);
     std::uint64_t id = 0;
@@ -119,7 +119,7 @@
     CHECK(served[RequestClass::Urgent] > 300 * 8 / 10);
 }
 
-TEST_CASE("organisations alternate however many requests one has waiting, and by work, not number")
+TEST_CASE("organisations share by work, however many requests one of them has waiting")
 {
     Busy busy(1000);
     for (std::uint64_t i = 1; i <= 100; ++i) {
@@ -139,15 +139,15 @@
     CHECK(std::count(order.begin(), order.begin() + 10, "heavy") == 1);
 }
 
-// Symptom: a caller waits for most of its deadline, then hears that there is no room, too late to go elsewhere.
-// Sequence: it is queued behind more work than fits before its deadline. Cause: deadlines are looked at only when due.
-TEST_CASE("a deadline that cannot be met is refused at once, and on the first check after others overtook")
+// Guards against late refusals: a request queued behind more work than fits before its deadline was refused only at the
+// deadline, too late for the caller to try elsewhere.
+TEST_CASE("a request that cannot meet its deadline is refused on arrival, or on the first check after others got ahead")
 {
     Busy busy(100);
     for (std::uint64_t i = 1; i <= 20; ++i) {
         busy.queue.offer(Millis{1}, entryOf(i, "a"), busy.actions);
     }
-    busy.next(Millis{100}); // one service takes 100 ms, 19 wait
+    busy.next(Millis{100}); // the service time is 100 ms, and 19 requests wait
     const QueueDecision decision
         = busy.queue.offer(Millis{100}, entryOf(50, "a", RequestClass::Interactive, Millis{1600}), busy.actions);
     CHECK(decision.verdict == QueueVerdict::Refuse);
@@ -166,9 +166,9 @@
     CHECK(busy.actions.front().entry.request.low == 51);
 }
 
-// Symptom: an engine computes for a caller that has hung up. Sequence: a request's time passes between two checks, then
-// a slot is freed. Cause: the time is not looked at when it goes on.
-TEST_CASE("a request whose time has passed does not go on")
+// Guards against work for a caller that has given up: the deadline of a request passes between two checks, and a slot
+// becomes free before the next one. Deadlines must also be checked on dispatch.
+TEST_CASE("a request whose deadline has passed is not dispatched")
 {
     Busy busy;
     const QueueEntry entry = entryOf(1, "a", RequestClass::Urgent, Millis{30});
@@ -179,7 +179,7 @@
     CHECK(busy.queue.inFlight() == 0);
 }
 
-TEST_CASE("a pool without room: the request keeps its place, the slots shrink and grow again")
+TEST_CASE("if the pool is full, the request keeps its position, and the slots shrink and grow again")
 {
     AdmissionQueue queue({4, 10, Millis{50}, Millis{1000}, Millis{30000}});
     std::vector<QueueAction> actions;
@@ -202,10 +202,10 @@
     CHECK(queue.nextDeadline() == Millis::never());
 }
 
-// Symptom: an urgent request waits for hundreds of milliseconds at a router that has few in flight. Sequence: the
-// owner has no room for a background request, or for one more of an organisation that surges. Cause: its answer held
-// back the whole queue until one of the router's own requests was done.
-TEST_CASE("a pool without room for one organisation and class does not hold back the others")
+// Guards against urgent requests that wait for hundreds of milliseconds at a router with few requests in flight: the
+// owner had no room for a background request, or for another request of a surging organisation, and this held back the
+// whole queue until one of the router's own requests was done.
+TEST_CASE("a pool that is full for one organisation and class does not hold back the others")
 {
     struct Row
     {
@@ -231,7 +231,7 @@
     }
 }
 
-TEST_CASE("after a full pool a backlog asks one at a time, and more with each place it gets")
+TEST_CASE("after a full pool, a backlog reserves one at a time, and more with each reservation granted")
 {
     AdmissionQueue queue({64, 100, Millis{50}, Millis{1000}, Millis{30000}});
     std::vector<QueueAction> actions;
@@ -252,7 +252,8 @@
     CHECK(!queue.dispatched({0, 20}));
 }
 
-TEST_CASE("whatever comes: bounds hold, everybody hears exactly once, organisation and class are first in first out")
+TEST_CASE(
+    "for any events, bounds hold, each request is decided exactly once, and organisation and class are served in order")
 {
     CHECK(rc::check([] {
         AdmissionQueue queue({3, 12, Millis{50}, Millis{1000}, Millis{30000}});
--- a/sequoiausher/coordination/limits/classscheduler.cpp
+++ b/sequoiausher/coordination/limits/classscheduler.cpp
@@ -14,7 +14,7 @@
     if (ready[interactive] && this->passedOver[interactive] + 1 >= interactiveInterval) {
         return interactive;
     }
-    // Interactive comes first where both are due, so background is due one dispatch early.
+    // If both classes are due, interactive comes first, so background must be due one dispatch early.
     if (ready[background] && this->passedOver[background] + 2 >= backgroundInterval) {
         return background;
     }
--- a/sequoiausher/coordination/limits/classscheduler.h
+++ b/sequoiausher/coordination/limits/classscheduler.h
@@ -1,12 +1,12 @@
 #pragma once
 
-// Which class is served next: urgent, interactive, background, but the lower ones get their turn now and then.
+// Decides which class is served next: urgent, then interactive, then background, with a minimum share for the last two.
 //
-//     const std::size_t index = turns.next(ready);   // ready: in which classes somebody could be served
-//     turns.recordServed(index, waiting);                   // waiting: in which classes somebody waits at all
+//     const std::size_t index = scheduler.next(ready); // ready: the classes with a request that may be dispatched
+//     scheduler.recordServed(index, waiting);          // waiting: the classes with a waiting request
 //
-// Of any 8 in a row while interactive requests wait at least one is interactive, and of any 33 while background ones
-// wait at least one is background, as soon as they are ready.
+// At least one of any 8 consecutive dispatches is interactive while interactive requests wait, and at least one of any
+// 33 is background while background requests wait, as soon as such requests are ready.
 
 #include "sequoiausher/base/requestclass.h"
 
@@ -16,25 +16,29 @@
 
 namespace Sequoiausher {
 
-/** Of this many dispatches at least one is interactive or background, where such requests wait. */
+/** At least one of this many consecutive dispatches is of the class, while requests of the class wait. */
 inline constexpr std::uint32_t interactiveInterval = 8;
 inline constexpr std::uint32_t backgroundInterval = 33;
 
-/** One for each class, in their order. */
+/** One flag for each class, in the order of the classes. */
 using ClassFlags = std::array<bool, requestClassCount>;
 
-/** The turns of the classes. */
+/** Schedules the classes. Not thread-safe. */
 class ClassScheduler
 {
 public:
-    /** The class whose turn it is, by its number; at least one flag must be set. */
+    /** Returns the index of the class to serve next. At least one flag must be set. */
     std::size_t next(const ClassFlags &ready) const;
 
-    /** One of the class was served; waiting as it was before. A class in which nobody waits has no claim. */
+    /**
+     * Records that a request of the class was served.
+     * @param waiting the classes with waiting requests before that. A class without any loses its claim to the next
+     * turn.
+     */
     void recordServed(std::size_t index, const ClassFlags &waiting);
 
 private:
-    /** How many in a row passed over a class in which somebody waits. */
+    /** The number of consecutive dispatches of other classes, for each class with waiting requests. */
     std::array<std::uint32_t, requestClassCount> passedOver{};
 };
 
--- a/sequoiausher/coordination/limits/classschedulertest.cpp
+++ b/sequoiausher/coordination/limits/classschedulertest.cpp
@@ -6,14 +6,14 @@
 
 using namespace Sequoiausher;
 
-TEST_CASE("who is served next, by who waits and who is ready")
+TEST_CASE("the class served next depends on which classes wait and which are ready")
 {
     struct Row
     {
         const char *what;
         ClassFlags waiting;
         ClassFlags ready;
-        /** How many of a hundred are of each class. */
+        /** How many of a hundred dispatches each class gets. */
         std::array<int, requestClassCount> served;
     };
     const std::vector<Row> rows{
@@ -35,7 +35,7 @@
     }
 }
 
-TEST_CASE("a class that was held back is served first once it is ready")
+TEST_CASE("a class that was held back is served first when it becomes ready")
 {
     ClassScheduler scheduler;
     const ClassFlags waiting{true, true, false};
--- a/sequoiausher/coordination/limits/dispatchqueue.h
+++ b/sequoiausher/coordination/limits/dispatchqueue.h
@@ -1,14 +1,15 @@
 #pragma once
 
-// The queue of a router in front of one pool: who goes on to a target now, who waits, and who is refused.
+// The queue of a router in front of one pool: it decides which requests are dispatched, which wait and which are
+// refused.
 //
 //     AdmissionQueue queue(settings);
 //     std::vector<QueueAction> actions;
 //     const QueueDecision decision = queue.offer(now, {request, organisation, RequestClass::Urgent, by, 1}, actions);
-//     // decision is for request; actions are for others, such as one that was shed to make room
-//     queue.finish(now, request, actions);      // its target is done: the next ones go on
+//     // decision is for this request; actions are for others, such as one that was shed to make room
+//     queue.finish(now, request, actions);      // the target is done with the request: others are dispatched
 //
-// A queue is a plain state machine: not thread-safe, the caller locks (LockRank::Limits).
+// A queue is a state machine without I/O. Not thread-safe: the caller must hold a lock (LockRank::Limits).
 
 #include "sequoiausher/base/identifiers.h"
 #include "sequoiausher/base/millis.h"
@@ -21,22 +22,22 @@
 
 namespace Sequoiausher {
 
-/** One request that wants to go on. */
+/** One request to be dispatched. */
 struct QueueEntry
 {
     RequestId request;
     OrganisationId organisation;
     RequestClass requestClass = RequestClass::Interactive;
-    /** The point in time after which going on makes no sense: the caller's deadline less the time to answer. */
+    /** The latest useful time to dispatch the request: the caller's deadline less the time to answer. */
     Millis dispatchBy = Millis::never();
-    /** The work it brings, such as its prompt in thousands of tokens; at least 1. */
+    /** The work that the request causes, such as its prompt in thousands of tokens; at least 1. */
     std::uint32_t cost = 1;
 };
 
 enum class QueueVerdict {
     Dispatch,
     Queue,
-    /** Not run: answer the caller at once. */
+    /** Do not run the request, and answer the caller immediately. */
     Refuse,
 };
 
@@ -49,9 +50,9 @@
 
 enum class RefuseReason {
     None,
-    /** The queue is full, and others come before this one. */
+    /** The queue is full, and the other requests take precedence. */
     Full,
-    /** It would not go on before its dispatchBy. */
+    /** The request would not be dispatched before its dispatchBy. */
     Deadline,
 };
 
@@ -62,47 +63,47 @@
     {RefuseReason::Deadline, "deadline"},
 });
 
-/** What is decided for a request. */
+/** The decision about a request. */
 struct QueueDecision
 {
     QueueVerdict verdict = QueueVerdict::Queue;
     RefuseReason reason = RefuseReason::None;
-    /** With Refuse: when to come back. */
+    /** With Refuse: the delay after which the caller may retry. */
     Millis retryAfter;
 };
 
-/** What is decided for a request that waited. */
+/** The decision about a request that waited. */
 struct QueueAction
 {
     QueueEntry entry;
     QueueDecision decision;
 };
 
-/** The interface of all queues, so that disciplines can be compared under the same load. */
+/** The interface of all queues, so that queueing disciplines can be compared under the same load. */
 class DispatchQueue
 {
 public:
     virtual ~DispatchQueue() = default;
 
-    /** A request arrives. Its id must not be queued or in flight already. */
+    /** Decides about a new request. Its id must not be queued or in flight. */
     virtual QueueDecision offer(Millis now, const QueueEntry &entry, std::vector<QueueAction> &actions) = 0;
-    /** A dispatched request is done with its target, however it ended. Unknown ids have no effect. */
+    /** Ends a dispatched request, whatever its result. Unknown ids have no effect. */
     virtual void finish(Millis now, const RequestId &request, std::vector<QueueAction> &actions) = 0;
-    /** The owner of the pool gave a dispatched request its place. Unknown ids have no effect. */
+    /** The owner of the pool granted the reservation of a dispatched request. Unknown ids have no effect. */
     virtual void granted(Millis /*now*/, const RequestId & /*request*/, std::vector<QueueAction> & /*actions*/)
     {
     }
     /**
-     * The owner of the pool had no room for a dispatched request: it waits again, first of its organisation and
-     * class, and no other of these goes on before retryAfter has passed.
+     * The owner of the pool had no room for a dispatched request. The request waits again, as the first of its
+     * organisation and class, and no request of these is dispatched before retryAfter has passed.
      */
     virtual void putBack(Millis now, const RequestId &request, Millis retryAfter, std::vector<QueueAction> &actions)
         = 0;
-    /** The caller of a waiting request went away. Unknown ids have no effect. */
+    /** Removes a waiting request whose caller has disconnected. Unknown ids have no effect. */
     virtual void cancel(const RequestId &request) = 0;
-    /** Refuses those whose time cannot be met any more, and goes on after a pause. */
+    /** Refuses requests that cannot meet their deadlines, and resumes dispatching after a pause. */
     virtual void tick(Millis now, std::vector<QueueAction> &actions) = 0;
-    /** When tick() has something to do next; Millis::never() where nobody waits. */
+    /** Returns when tick() must be called next; Millis::never() if no request waits. */
     virtual Millis nextDeadline() const = 0;
     virtual std::size_t waiting() const = 0;
     virtual std::size_t inFlight() const = 0;
--- a/sequoiausher/coordination/limits/fairflows.cpp
+++ b/sequoiausher/coordination/limits/fairflows.cpp
@@ -12,7 +12,7 @@
 struct Flow
 {
     std::deque<QueueEntry> entries;
-    /** The start tag of the first entry. */
+    /** The start tag of the first request. */
     double tag = 0;
     double cost = 0;
 };
@@ -22,7 +22,7 @@
 class FairFlows::Private
 {
 public:
-    /** The flow of an organisation, at the present virtual time where it was away. */
+    /** Returns the flow of an organisation. The tag of an idle flow advances to the current virtual time. */
     Flow &flowOf(const OrganisationId &organisation)
     {
         Flow &flow = this->flows[organisation];
@@ -32,7 +32,7 @@
         return flow;
     }
 
-    /** Forgets tags that no longer tell anything, and beyond the bound all of those that wait for nothing. */
+    /** Drops idle flows whose tags have no effect any more; all idle flows if there are too many. */
     void forgetIdleFlows()
     {
         const bool tooMany = this->flows.size() > maxRememberedFlows;
@@ -41,7 +41,7 @@
         });
     }
 
-    /** How many entries of all flows but own start before tag. */
+    /** Counts the requests of flows other than own that start at or before tag. */
     std::size_t countStartingBefore(double tag, const OrganisationId &own) const
     {
         std::size_t count = 0;
--- a/sequoiausher/coordination/limits/fairflows.h
+++ b/sequoiausher/coordination/limits/fairflows.h
@@ -1,16 +1,16 @@
 #pragma once
 
-// The waiting requests of one class, served fairly between organisations: each organisation is a flow of its own,
-// first come first served within, and flows share by work and not by number of requests.
+// The waiting requests of one class, scheduled fairly between organisations. Each organisation is a flow, which is
+// first come, first served; flows share by work, not by number of requests.
 //
 //     FairFlows flows;
 //     flows.add(entry);
 //     const QueueEntry next = flows.takeNext();
 //
-// Source: Goyal, Vin and Cheng, "Start-time fair queueing", 1996. Each flow has a start tag; the least is served, and
-// its tag grows by the cost served. A flow that comes back starts at the present virtual time, so an organisation
-// that was quiet neither saves up a claim nor pays for others. Tags are charged when served, not on arrival, so that
-// shedding and cancelling need no correction.
+// Source: Goyal, Vin and Cheng, "Start-time fair queueing", 1996. Each flow has a start tag. The flow with the lowest
+// tag is served, and its tag grows by the cost of the request. A flow that becomes active again starts at the current
+// virtual time, so an idle organisation neither accumulates credit nor pays for others. Tags grow when requests are
+// served, not on arrival, so shedding and cancelling need no correction.
 
 #include "sequoiausher/coordination/limits/dispatchqueue.h"
 
@@ -20,10 +20,10 @@
 
 namespace Sequoiausher {
 
-/** Tags of flows that wait for nothing are remembered for at most this many organisations. */
+/** If there are more flows than this, the tags of all idle flows are dropped. */
 inline constexpr std::size_t maxRememberedFlows = 1024;
 
-/** One class. Not thread-safe. */
+/** The flows of one class. Not thread-safe. */
 class FairFlows
 {
 public:
@@ -35,36 +35,36 @@
     std::size_t size() const;
     bool empty() const;
 
-    /** Adds behind those of the same organisation. */
+    /** Adds a request after the others of its organisation. */
     void add(const QueueEntry &entry);
-    /** Adds before those of the same organisation, and takes back what takeNext() charged for it. */
+    /** Adds a request before the others of its organisation, and undoes the charge of takeNext(). */
     void putBack(const QueueEntry &entry);
-    /** How many of an organisation wait. */
+    /** Returns the number of waiting requests of an organisation. */
     std::size_t countWaiting(const OrganisationId &organisation) const;
 
-    /** The next in fair order. Not to be called when empty. */
+    /** Takes the next request in fair order. Must not be called if there is none. */
     QueueEntry takeNext();
-    /** The organisation that comes next of those that mayDispatch accepts; std::nullopt where none of them waits. */
+    /** Returns the organisation to serve next among those that mayDispatch accepts, if any of them waits. */
     std::optional<OrganisationId> next(const std::function<bool(const OrganisationId &)> &mayDispatch) const;
-    /** The first of an organisation that waits; charges it. */
+    /** Takes the first request of an organisation and charges its cost. The organisation must have one. */
     QueueEntry takeFirst(const OrganisationId &organisation);
-    /** The first of an organisation that waits. */
+    /** Returns the first request of an organisation, which must have one. */
     const QueueEntry &first(const OrganisationId &organisation) const;
-    /** Removes one that waits; false where it does not. */
+    /** Removes a waiting request; false if there is no such request. */
     bool remove(const OrganisationId &organisation, const RequestId &request);
 
     /**
-     * The organisation with most work waiting, which is the one furthest above its fair share, counting arriving as
-     * if it waited already; of equals the one that comes last by name, with arriving's own before all others.
-     * std::nullopt where nobody waits and nothing arrives.
+     * Returns the organisation with the most work waiting, which is the one furthest above its fair share. Counts
+     * arriving as waiting. Among equals, the organisation of arriving is chosen; without arriving, the last one by
+     * name. std::nullopt if no request waits and arriving is nullptr.
      */
     std::optional<OrganisationId> findMostBacklogged(const QueueEntry *arriving) const;
-    /** Takes away the last one of an organisation that waits. */
+    /** Takes the last request of an organisation, which must have one. Charges nothing. */
     QueueEntry takeLast(const OrganisationId &organisation);
 
-    /** How many would be served before a new one of this organisation, as long as none arrives. */
+    /** Returns how many requests would be served before a new one of this organisation, if no others arrive. */
     std::size_t countAheadOfNew(const OrganisationId &organisation) const;
-    /** Calls visit with each one waiting and how many would be served before it. */
+    /** Calls visit with each waiting request and the number of requests that would be served before it. */
     void forEach(const std::function<void(const QueueEntry &, std::size_t ahead)> &visit) const;
 
 private:
--- a/sequoiausher/coordination/limits/fifoqueue.cpp
+++ b/sequoiausher/coordination/limits/fifoqueue.cpp
@@ -92,7 +92,7 @@
 
 Millis FifoQueue::nextDeadline() const
 {
-    // But for the end of a pause, only the end of a request lets anybody go on.
+    // Apart from the end of a pause, only a finished request allows another dispatch.
     return this->d->waitingRequests.empty() || !this->d->paused ? Millis::never() : this->d->pausedUntil;
 }
 
--- a/sequoiausher/coordination/limits/fifoqueue.h
+++ b/sequoiausher/coordination/limits/fifoqueue.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The naive queue: one line for everybody, the last one refused when it is full. It is what the fair queue is
-// measured against, and a policy for those who want to compare on live traffic.
+// A first-in, first-out queue for all organisations and classes, which refuses arriving requests when it is full. It is
+// the baseline for measurements of the fair queue.
 //
 //     FifoQueue queue(64, 256);
 
@@ -15,7 +15,7 @@
 class FifoQueue : public DispatchQueue
 {
 public:
-    /** At most slots requests in flight and maxWaiting waiting. */
+    /** Allows at most slots requests in flight and maxWaiting requests waiting. */
     FifoQueue(std::size_t slots, std::size_t maxWaiting);
     ~FifoQueue() override;
 
--- a/sequoiausher/coordination/limits/poolguard.h
+++ b/sequoiausher/coordination/limits/poolguard.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What keeps a pool in trouble from being given more of it by this router: targets whose calls fail one after another
-// are left alone for a while (TargetHealth), and a resend needs a token of its pool's budget (RetryBudget).
+// Protects a failing pool from additional load by this router: targets are paused after consecutive failures
+// (TargetHealth), and each resend takes a token of the pool's budget (RetryBudget).
 //
 //     PoolGuard guard;
 //     wanted.excluded = guard.pausedTargets(now, *view, flowExcluded);
@@ -17,33 +17,37 @@
 
 namespace Sequoiausher {
 
-/** At most this many targets are named in a reservation as left alone: the names travel to the owner. */
+/** The maximum number of paused targets in a reservation, bounded since their names are sent to the owner. */
 inline constexpr std::size_t maxPausedTargets = 16;
 
-/** One router's own view, made of its own calls; saves time and work, and decides no safety. Not thread-safe. */
+/**
+ * The state of pools by this router's own calls. It saves time and work only; correctness never depends on it. Not
+ * thread-safe.
+ */
 class PoolGuard
 {
 public:
     PoolGuard();
 
     /**
-     * The targets of the pool that are left alone now, beside those excluded already; at most maxPausedTargets.
-     * @return nothing where no other live target would remain: that all fail is more likely the router's own network,
-     *         so one is tried all the same.
+     * Returns the live targets of the pool that are paused now and not in excluded, at most maxPausedTargets.
+     * @return nothing if no other live target would remain. If all targets fail, the cause is more likely the router's
+     * own network, so requests are still sent.
      */
     std::vector<TargetId> pausedTargets(Millis now, const PoolView &pool, const std::vector<TargetId> &excluded) const;
 
-    /** A request is sent; after a pause it is the probe. */
+    /** Records that a request is sent. The first one after a pause is the probe. */
     void recordAttempt(Millis now, const TargetId &target);
+    /** Records that the target answered. */
     void recordSuccess(const TargetId &target);
-    /** The target could not be reached, broke off or was silent. */
+    /** Records that the target could not be reached, broke off its answer or was silent. */
     void recordFailure(Millis now, const TargetId &target);
-    /** The target's life changed: what failed before says nothing of it. */
+    /** Drops the failures of a target that was restarted or removed. */
     void forget(const TargetId &target);
 
-    /** Counts a first try in the pool by a rule with this budget, in percent of first tries. */
+    /** Counts a first attempt in the pool. @param percent the budget of the rule, in percent of first attempts. */
     void countRequest(Millis now, const PoolId &pool, std::uint32_t percent);
-    /** Whether one resend may be sent; it is then paid for. Never with 0 percent. */
+    /** Takes one resend from the budget; false if there is none left, and always with 0 percent. */
     bool tryResend(Millis now, const PoolId &pool, std::uint32_t percent);
 
 private:
--- a/sequoiausher/coordination/limits/poolguardtest.cpp
+++ b/sequoiausher/coordination/limits/poolguardtest.cpp
@@ -27,9 +27,10 @@
 
 } // namespace
 
-// Symptom: every third request waits for a dead target and is resent. Sequence: a target dies, the platform's list
-// still has it for seconds, its empty count makes it the owner's first choice. Cause: failures were not remembered.
-TEST_CASE("a target whose calls fail one after another is left alone for a while, then probed by one request")
+// Guards against sending requests to a dead target again and again: every third request waited for such a target and
+// was resent. The platform still lists the target for seconds, and its empty count makes it the owner's first choice,
+// so the router must remember its failures.
+TEST_CASE("a target is paused after consecutive failures, then probed by one request")
 {
     PoolGuard guard;
     const PoolView pool = poolOf({"a", "b"});
@@ -43,20 +44,21 @@
     CHECK(guard.pausedTargets(Millis{1602}, pool, {}).empty());
 }
 
-TEST_CASE("where all are paused, one is tried all the same")
+TEST_CASE("if all targets are paused, requests are still sent")
 {
     PoolGuard guard;
     const PoolView pool = poolOf({"a", "b"});
     failThrice(guard, "a");
     failThrice(guard, "b");
     CHECK(guard.pausedTargets(Millis{1000}, pool, {}).empty());
-    // The request has failed on b itself: a is all that is left.
+    // The request failed at b, so only a is left.
     guard.recordSuccess(TargetId{"b"});
     CHECK(guard.pausedTargets(Millis{1000}, pool, {TargetId{"b"}}).empty());
 }
 
-// Symptom: a pool that lost half of its targets gets twice the requests. Cause: each failed call was sent again.
-TEST_CASE("resends are a share of first tries, for each pool by itself")
+// Guards against retry storms: a pool that lost half of its targets got twice the requests, since each failed call was
+// resent.
+TEST_CASE("resends are bounded to a share of first attempts, separately for each pool")
 {
     PoolGuard guard;
     const PoolId pool{"plates"};
--- a/sequoiausher/coordination/limits/ratelimit.cpp
+++ b/sequoiausher/coordination/limits/ratelimit.cpp
@@ -12,7 +12,7 @@
 
 constexpr double msPerSecond = 1000;
 
-/** Tokens that come in at a rate, up to a bound. */
+/** A token bucket. */
 struct Bucket
 {
     double tokens = 0;
@@ -31,7 +31,7 @@
         this->filledAt = std::max(this->filledAt, now);
     }
 
-    /** When the bucket will hold wanted. */
+    /** Returns the time until the bucket holds amount, at most 60 s. */
     Millis timeUntil(double amount, double perSecond) const
     {
         constexpr Millis maxTime{60000};
@@ -43,7 +43,7 @@
     }
 };
 
-/** An exponentially weighted rate. */
+/** An exponentially weighted moving average of a rate. */
 struct Demand
 {
     double perSecond = 0;
@@ -63,7 +63,7 @@
     }
 };
 
-/** What this router said of its demand. */
+/** A demand that this router reported. */
 struct Sample
 {
     Millis at;
@@ -72,7 +72,7 @@
 
 constexpr Millis sampleInterval{500};
 constexpr std::size_t maxSamples = 128;
-/** A report may be this much older than the sum that it is in, in a fleet of today. */
+/** The maximum age of a report within a sum, or a third of the TTL if that is longer. */
 constexpr Millis maxReportAge{2000};
 
 struct Organisation
@@ -81,7 +81,7 @@
     Bucket whole;
     std::array<Bucket, requestClassCount> classes;
     Demand own;
-    /** What was reported, the oldest first. */
+    /** The reported demands, oldest first. */
     std::deque<Sample> samples;
     double fleetDemand = 0;
     std::optional<Millis> fleetDemandAt;
@@ -97,7 +97,7 @@
 class RateLimiter::Private
 {
 public:
-    /** The part of any limit of the organisation that is this router's. */
+    /** Returns this router's share of the organisation's limits, as a fraction. */
     double shareFraction(Millis now, Organisation &organisation) const
     {
         const double evenShare = 1 / this->liveRouters;
@@ -106,13 +106,13 @@
             return evenShare;
         }
         organisation.own.decay(now);
-        // The sum may be older than this router's own surge: it is at least what this router sees itself.
+        // The sum may be older than a surge at this router, so use at least this router's own reported demand.
         const double own = this->ownDemandInSum(organisation);
         const double fleet = std::max(organisation.fleetDemand, own);
         const double limit = organisation.limits.perSecond;
         if (fleet < limit) {
-            // Goes wrong with a share by demand alone: of a quiet organisation's 0.6 requests a second each router's
-            // measure is mostly noise, and the share that follows it refuses far below the limit.
+            // A share by demand alone would refuse requests far below the limit: if an organisation has 0.6 requests a
+            // second in the whole fleet, the demand measured by each router is mostly noise.
             const double shareWithSlack = (own + (limit - fleet) / this->liveRouters) / limit;
             return std::min(std::max(evenShare, shareWithSlack), maxShareToEvenRatio * evenShare);
         }
@@ -122,9 +122,9 @@
     }
 
     /**
-     * What this router's own demand is in the sum, at most. Goes wrong with the present demand: when an organisation
-     * surges at all routers at once, each finds its own demand as large as the old sum of all, and lets nearly the
-     * whole limit through, seven times in all, until the sums catch up.
+     * Returns an upper bound of this router's contribution to the sum. The current demand cannot be used instead: if an
+     * organisation surges at all routers at once, each router's demand would be as large as the old sum, and each would
+     * allow nearly the whole limit, seven times the limit in total, until the sums are up to date.
      */
     double ownDemandInSum(const Organisation &organisation) const
     {
@@ -149,7 +149,7 @@
         }
     }
 
-    /** The class whose bucket pays: the request's own, else a less important one with enough left. */
+    /** Returns the class whose bucket pays: the request's own, or else a less important one with enough tokens. */
     static std::optional<std::size_t> findPayer(const Organisation &organisation, std::size_t own, double cost)
     {
         for (std::size_t index = own; index < requestClassCount; ++index) {
@@ -206,7 +206,7 @@
         return {};
     }
     Organisation &known = found->second;
-    // What is refused counts too: shares follow what callers want, or a router refused once would never catch up.
+    // Refused requests count as demand too. Otherwise a router that refused requests would never get a larger share.
     known.own.add(now, cost);
     const double shareFraction = this->d->shareFraction(now, known);
     Private::fill(now, known, shareFraction);
--- a/sequoiausher/coordination/limits/ratelimit.h
+++ b/sequoiausher/coordination/limits/ratelimit.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Limits of an organisation, for the fleet as a whole, kept by routers that each see a sliver of its traffic.
+// Enforces rate limits of organisations over the whole fleet, by routers that each see a small part of the traffic.
 //
 //     RateLimiter limiter;
 //     limiter.setLimits(organisation, {.perSecond = 100, .burstSeconds = 2});
@@ -16,26 +16,28 @@
 //
 //     share = max(L / N, own demand + (L - D) / N),
 //
-// since nobody needs to be refused then; these add up to 2 L at most, for as long as it takes a surge to show in the
-// sums. Own demand is what this router told for the sum, not the present one, or all would surge past the old sum. The
-// demand of the fleet comes from outside (setFleetDemand), from sums that ride on messages that are sent anyway, and
-// only for organisations near their limit (collectReports()). Without a fresh one the share is L / N: static, without
-// any traffic, and right where the balancer spreads an organisation's requests evenly. Central counting (asking an
-// owner for each request) was ruled out: a round trip before each request, and an outage of the owner would stop an
-// organisation or lift its limit.
+// since no request needs to be refused then. These shares add up to at most 2 L, until a surge shows in the sums. The
+// own demand is the one that this router reported for the sum, not the current one. Otherwise all routers would exceed
+// their shares in a surge, since their current demands add up to more than the old sum.
 //
-// The error. With an exact demand the shares add up to L. Where the fleet's demand is known too low by a factor
-// (1 - e), they add up to at most L x (f + (1 - f) / (1 - e)): 15% above L for e = 0.16, as when a demand that
-// doubles in 10 s is known 2.5 s late. Each bucket adds burstSeconds x its share, once. A router's share is bounded
-// to maxShareToEvenRatio times the even one, so that a wrong sum cannot lift a limit altogether. In a partition whose
-// sides keep an old list, N counts all routers: a side admits at most its part by the static share. Once the list
-// shrinks to the side each side admits L.
+// The demand of the fleet comes from the caller (setFleetDemand()). It is the sum of reports that are sent with other
+// messages, only for organisations near their limit (collectReports()). If there is no recent sum, the share is L / N.
+// This static share needs no messages, and is right if the balancer spreads an organisation's requests evenly. Central
+// counting, by an owner that is asked for each request, was rejected: it costs a round trip for each request, and an
+// outage of the owner would either stop an organisation or lift its limit.
 //
-// Borrowing between classes: a class may have a limit of its own within the organisation's. A request that finds its
-// class's bucket empty may use what less important classes leave unused, never the other way round; the
-// organisation's own bucket always binds.
+// The error. With an exact demand the shares add up to L. If the known demand of the fleet is too low by a factor
+// (1 - e), they add up to at most L x (f + (1 - f) / (1 - e)): 15% above L for e = 0.16, for example if a demand that
+// doubles in 10 s is known 2.5 s late. Each bucket adds burstSeconds x its share, once. A router's share is bounded to
+// maxShareToEvenRatio times the even one, so that a wrong sum cannot lift a limit altogether. In a network partition, N
+// counts all routers while both sides have the old membership list, so each side admits at most its part by the static
+// share. Once the list is reduced to the routers of one side, each side admits L.
 //
-// A plain state machine: not thread-safe, the caller locks (LockRank::Limits).
+// Borrowing between classes: a class may have a limit of its own within the organisation's. If the bucket of its class
+// is empty, a request may use tokens of less important classes, but never of more important ones. The organisation's
+// own bucket always applies.
+//
+// A state machine without I/O. Not thread-safe: the caller must hold a lock (LockRank::Limits).
 
 #include "sequoiausher/base/identifiers.h"
 #include "sequoiausher/base/millis.h"
@@ -50,14 +52,14 @@
 
 namespace Sequoiausher {
 
-/** The limits of one organisation over the whole fleet, in requests or in whatever take() is given as cost. */
+/** The limits of one organisation over the whole fleet, in requests or the unit of the cost passed to take(). */
 struct OrganisationLimits
 {
-    /** 0: no limit. */
+    /** 0 for no limit. */
     double perSecond = 0;
     /** The bucket holds this many seconds' worth of the router's share, and at least minimumBurst. */
     double burstSeconds = 2;
-    /** Limits of the classes; 0: only the organisation's limit binds. */
+    /** Limits of the classes per second; 0 if only the organisation's limit applies. */
     std::array<double, requestClassCount> perClass{};
 
     bool operator==(const OrganisationLimits &) const = default;
@@ -66,22 +68,25 @@
 struct LimitDecision
 {
     bool allowed = true;
-    /** Where not allowed: when enough will have come in, as things stand. */
+    /** If not allowed, the time until there are enough tokens at the current rate. */
     Millis retryAfter;
 };
 
-/** A bucket holds at least this much, or at 1,300 routers a share below one a second would refuse everything. */
+/** The minimum capacity of a bucket. Without it, a share below one a second would allow nothing at 1,300 routers. */
 inline constexpr double minimumBurst = 4;
-/** The part of a limit that is shared evenly, for routers that start to see an organisation. */
+/** The fraction of a limit that is shared evenly, for routers that begin to get requests of an organisation. */
 inline constexpr double evenShareFraction = 0.2;
+/** The maximum of a router's share, as a multiple of the even share. */
 inline constexpr double maxShareToEvenRatio = 20;
-/** A fleet demand older than this is not used; in large fleets, where demands are told less often, demandTtlPerRouter
- * for each router where that is longer. */
+/**
+ * A fleet demand older than this is not used. In large fleets, where demands are reported less often, the limit is
+ * demandTtlPerRouter for each router if that is longer.
+ */
 inline constexpr Millis minDemandTtl{10000};
 inline constexpr Millis demandTtlPerRouter{30};
-/** The time over which a router's own demand is averaged. */
+/** The time constant of the moving average of a router's own demand. */
 inline constexpr Millis demandAveragingTime{5000};
-/** Demand is reported from this part of the even share on: others cannot be near their limit. */
+/** Demands below this fraction of the even share are not reported: such organisations are not near their limit. */
 inline constexpr double minReportedFraction = 0.25;
 
 class RateLimiter
@@ -92,19 +97,19 @@
     RateLimiter(RateLimiter &&) noexcept;
     RateLimiter &operator=(RateLimiter &&) noexcept;
 
-    /** Sets or changes an organisation's limits; what is in its buckets stays, up to the new bound. */
+    /** Sets or changes an organisation's limits. Its buckets keep their tokens, up to the new capacity. */
     void setLimits(const OrganisationId &organisation, const OrganisationLimits &limits);
     void removeLimits(const OrganisationId &organisation);
-    /** How many routers serve; at least 1. Those that are leaving count until they are gone. */
+    /** Sets the number of live routers, at least 1. Routers that are leaving count until they are gone. */
     void setLiveRouters(std::size_t count);
-    /** The sum of all routers' demand, this one's included. */
+    /** Sets the sum of the demands of all routers, including this one. */
     void setFleetDemand(Millis now, const OrganisationDemand &demand);
 
-    /** Takes cost for one request, or says when to come back. Organisations without limits are always allowed. */
+    /** Takes the tokens for one request, or returns a retry delay. Organisations without limits are always allowed. */
     LimitDecision take(Millis now, const OrganisationId &organisation, RequestClass requestClass, double cost);
-    /** What this router should tell: the demand of each organisation that may be near its limit. */
+    /** Returns the demands that this router must report: those of organisations that may be near their limits. */
     std::vector<OrganisationDemand> collectReports(Millis now);
-    /** This router's share of the organisation's limit now, per second; 0 where it has none. */
+    /** Returns this router's current share of the organisation's limit, per second; 0 if there is no limit. */
     double share(Millis now, const OrganisationId &organisation);
 
 private:
--- a/sequoiausher/coordination/limits/ratelimittest.cpp
+++ b/sequoiausher/coordination/limits/ratelimittest.cpp
@@ -13,7 +13,7 @@
 constexpr auto urgent = RequestClass::Urgent;
 constexpr auto low = RequestClass::Background;
 
-/** How many of the requests, sent to one limiter at an even interval, are allowed. */
+/** Sends requests to a limiter at an even interval, and returns how many are allowed. */
 int allowedOf(RateLimiter &limiter, Millis from, Millis to, Millis every)
 {
     int allowed = 0;
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("no limits, no refusals")
+TEST_CASE("without limits all requests are allowed")
 {
     RateLimiter limiter;
     CHECK(limiter.take(Millis{0}, acme, urgent, 1e9).allowed);
@@ -33,7 +33,7 @@
     CHECK(limiter.take(Millis{0}, acme, urgent, 1e9).allowed);
 }
 
-TEST_CASE("one router: burst, then the rate; the refused one may come when it is told")
+TEST_CASE("one router allows a burst, then the rate; a refused request is allowed after the retry delay")
 {
     RateLimiter limiter;
     limiter.setLimits(acme, {10, 2, {}});
@@ -48,7 +48,7 @@
     CHECK(limiter.take(Millis{10001} + refused.retryAfter, acme, urgent, 1).allowed);
 }
 
-TEST_CASE("urgent may use what background leaves, never the other way round")
+TEST_CASE("urgent requests may use tokens of background requests, but not the reverse")
 {
     RateLimiter limiter;
     limiter.setLimits(acme, {100, 1, {5, 5, 5}});
@@ -64,9 +64,9 @@
     CHECK(allowed == 10);
 }
 
-// Symptom: an organisation is refused though the fleet as a whole sees less than its limit. Sequence: its clients keep
-// their connections, so three of ten routers see all of it. Cause: every router keeps an even share.
-TEST_CASE("uneven traffic within the limit is let through once the fleet's demand is known, and not lifted above")
+// Guards against refusing an organisation that is below its limit: its clients keep their connections, so three of ten
+// routers get all its requests, and an even share for each router is too little.
+TEST_CASE("uneven traffic within the limit is allowed once the fleet's demand is known, and more than the limit is not")
 {
     struct Row
     {
@@ -115,7 +115,7 @@
     }
 }
 
-TEST_CASE("an old sum is not used")
+TEST_CASE("an outdated sum is not used")
 {
     RateLimiter limiter;
     limiter.setLimits(acme, {100, 2, {}});
@@ -126,7 +126,7 @@
     CHECK(limiter.share(minDemandTtl, acme) == doctest::Approx(10));
 }
 
-TEST_CASE("whatever comes, a router lets through no more than burst and rate of its largest share")
+TEST_CASE("for any events, a router allows no more than the burst and rate of its largest share")
 {
     CHECK(rc::check([] {
         RateLimiter limiter;
--- a/sequoiausher/coordination/limits/reservationwindowstest.cpp
+++ b/sequoiausher/coordination/limits/reservationwindowstest.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-TEST_CASE("an answer of full closes the window of its organisation and class alone")
+TEST_CASE("a refused reservation closes the window of its organisation and class only")
 {
     ReservationWindows windows;
     windows.startReservation(one, interactive);
@@ -28,7 +28,7 @@
     CHECK(windows.nextPauseEnd(Millis{50}) == Millis::never());
 }
 
-TEST_CASE("the window grows by one with each place got, until there is none")
+TEST_CASE("the limit grows by one with each reservation granted, until it is removed")
 {
     ReservationWindows windows;
     windows.startReservation(one, interactive);
@@ -48,7 +48,7 @@
     CHECK(most == 2);
 }
 
-TEST_CASE("with several that ask, one that is refused leaves a window for the others")
+TEST_CASE("after one of several pending reservations is refused, the others keep a window")
 {
     ReservationWindows windows;
     for (int i = 0; i < 5; ++i) {
--- a/sequoiausher/coordination/limits/retrybudget.cpp
+++ b/sequoiausher/coordination/limits/retrybudget.cpp
@@ -17,7 +17,7 @@
 bool RetryBudget::tryRetry(Millis now)
 {
     this->fill(now, 0);
-    // Hundredths added up ten times may come to a little less than one.
+    // The sum of ten times 0.1 may be slightly less than 1.
     constexpr double tolerance = 1e-9;
     if (this->tokens + tolerance < 1) {
         return false;
--- a/sequoiausher/coordination/limits/retrybudget.h
+++ b/sequoiausher/coordination/limits/retrybudget.h
@@ -1,14 +1,14 @@
 #pragma once
 
-// How many retries a router may send to a pool: a share of its first tries, so that a pool in trouble is not given
-// more work by those who try again.
+// Bounds the retries that a router sends to a pool to a share of the first attempts, so that retries do not overload a
+// failing pool.
 //
 //     RetryBudget budget({.percent = 10});
 //     budget.countRequest(now);
 //     if (budget.tryRetry(now)) { ... }
 //
-// The budget bounds load only. Whether a request may be sent again at all is decided elsewhere: never where it may
-// have run and is not idempotent.
+// The budget bounds load only. The caller decides whether a request may be resent at all: a request that may have run
+// must not be, unless it is idempotent.
 
 #include "sequoiausher/base/millis.h"
 
@@ -18,11 +18,11 @@
 
 struct RetryBudgetSettings
 {
-    /** Retries for each hundred first tries. */
+    /** Retries per hundred first attempts. */
     std::uint32_t percent = 10;
-    /** At most this many retries are saved up, and as many are there at the start. */
+    /** The capacity of the token bucket, which starts full. One retry takes one token. */
     double maxTokens = 10;
-    /** Retries that come in for each second whatever the traffic, or a quiet router could never retry. */
+    /** Tokens added per second regardless of traffic. Without these, a router with little traffic could never retry. */
     double perSecond = 0.1;
 };
 
@@ -32,9 +32,9 @@
 public:
     explicit RetryBudget(const RetryBudgetSettings &settings);
 
-    /** Counts a first try. */
+    /** Counts a first attempt. */
     void countRequest(Millis now);
-    /** Whether one retry may be sent; it is then paid for. */
+    /** Takes a token for one retry; false if there is none. */
     bool tryRetry(Millis now);
 
 private:
--- a/sequoiausher/coordination/limits/retrybudgettest.cpp
+++ b/sequoiausher/coordination/limits/retrybudgettest.cpp
@@ -4,9 +4,9 @@
 
 using namespace Sequoiausher;
 
-// Symptom: a pool that lost half of its targets never comes back. Sequence: each failed request is tried again, which
-// doubles the load, which fails more. Cause: retries without a bound.
-TEST_CASE("when everything fails, retries are a tenth of the requests")
+// Guards against retry storms: without a bound, each failed request is retried, which doubles the load and makes more
+// requests fail, so a pool that lost half of its targets never recovers.
+TEST_CASE("if all requests fail, retries are a tenth of the requests")
 {
     RetryBudget budget({10, 10, 0});
     int retries = 0;
@@ -18,7 +18,7 @@
     CHECK(retries <= 110);
 }
 
-TEST_CASE("quiet times neither save up without bound nor forbid retries")
+TEST_CASE("idle times neither accumulate retries without bound nor prevent them")
 {
     RetryBudget budget({10, 2, 0.1});
     CHECK(budget.tryRetry(Millis{0}));
--- a/sequoiausher/coordination/limits/rulequeues.h
+++ b/sequoiausher/coordination/limits/rulequeues.h
@@ -1,15 +1,15 @@
 #pragma once
 
-// What one organisation may have in flight by one rule, in this router: a queue of its own before the pool's queue, so
-// that an organisation at its limit waits for its own requests and takes no place from others.
+// Limits the requests that an organisation has in flight by one rule in this router. Each limit has a queue in front of
+// the pool's queue, so an organisation at its limit waits for its own requests and does not delay others.
 //
 //     RuleQueues queues;
 //     const QueueDecision decision = queues.offer(now, key, entry, actions);
-//     queues.leave(now, key, request, actions);        // at the request's end, however it ended
+//     queues.leave(now, key, request, actions);        // when the request ends, whatever its result
 //
-// Each gate is an AdmissionQueue with as many slots as the rule allows in flight: urgent first, background shed first.
-// A gate where nothing waits or runs takes no memory. A rule whose numbers change gets a new gate; what went through
-// the old one ends there.
+// Each queue is an AdmissionQueue with as many slots as the rule allows in flight: urgent requests are dispatched
+// first, background requests are shed first. A queue without waiting requests and requests in flight takes no memory.
+// If the limits of a rule change, it gets a new queue, and the requests of the old queue end there.
 
 #include "sequoiausher/coordination/limits/admissionqueue.h"
 
@@ -18,7 +18,7 @@
 
 namespace Sequoiausher {
 
-/** Which gate: the organisation, the rule that decided, and its numbers. */
+/** Identifies a queue: the organisation, the rule that decided, and the limits of the rule. */
 struct RuleQueueKey
 {
     OrganisationId organisation;
@@ -34,12 +34,12 @@
 class RuleQueues
 {
 public:
-    /** A request arrives before its gate; see DispatchQueue::offer(). */
+    /** Offers a request to its queue; see DispatchQueue::offer(). */
     QueueDecision
     offer(Millis now, const RuleQueueKey &key, const QueueEntry &entry, std::vector<QueueAction> &actions);
-    /** The request waits no more or is done with its target; lets the next one through. */
+    /** Removes a request that no longer waits or is done with its target, and dispatches the next one. */
     void leave(Millis now, const RuleQueueKey &key, const RequestId &request, std::vector<QueueAction> &actions);
-    /** Refuses those whose time cannot be met any more, and drops queues that are empty. */
+    /** Refuses requests that cannot meet their deadlines, and drops empty queues. */
     void tick(Millis now, std::vector<QueueAction> &actions);
     std::size_t waiting() const;
     std::size_t count() const;
--- a/sequoiausher/coordination/limits/rulequeuestest.cpp
+++ b/sequoiausher/coordination/limits/rulequeuestest.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("an organisation has at most then.in_flight at once, and the next goes on when one ends")
+TEST_CASE("an organisation has at most then.in_flight requests in flight, and the next is dispatched when one ends")
 {
     RuleQueues queues;
     std::vector<QueueAction> actions;
@@ -27,7 +27,7 @@
     CHECK(queues.offer(now, key, entryOf(1, RequestClass::Interactive), actions).verdict == QueueVerdict::Dispatch);
     CHECK(queues.offer(now, key, entryOf(2, RequestClass::Interactive), actions).verdict == QueueVerdict::Dispatch);
     CHECK(queues.offer(now, key, entryOf(3, RequestClass::Interactive), actions).verdict == QueueVerdict::Queue);
-    // Another organisation's gate is its own.
+    // Another organisation has a queue of its own.
     RuleQueueKey other = key;
     other.organisation = OrganisationId{"small"};
     CHECK(queues.offer(now, other, entryOf(4, RequestClass::Interactive), actions).verdict == QueueVerdict::Dispatch);
@@ -37,7 +37,7 @@
     CHECK(actions[0].decision.verdict == QueueVerdict::Dispatch);
 }
 
-TEST_CASE("above then.queue_length the least important one is refused at once, with a time to come back")
+TEST_CASE("above then.queue_length the least important request is refused immediately, with a retry delay")
 {
     RuleQueues queues;
     std::vector<QueueAction> actions;
@@ -52,7 +52,7 @@
     CHECK(actions[0].decision.retryAfter > Millis{0});
 }
 
-TEST_CASE("an empty gate takes no memory")
+TEST_CASE("an empty queue takes no memory")
 {
     RuleQueues queues;
     std::vector<QueueAction> actions;
--- a/sequoiausher/coordination/limits/targethealth.cpp
+++ b/sequoiausher/coordination/limits/targethealth.cpp
@@ -14,7 +14,7 @@
     /** 0 until the first pause. */
     Millis pause;
     Millis pausedUntil;
-    /** While a probe is under way: when it is given up. */
+    /** When the probe under way times out; std::nullopt without a probe. */
     std::optional<Millis> probeUntil;
 };
 
@@ -87,7 +87,8 @@
 {
     Failures &failures = this->d->targets[target];
     ++failures.consecutive;
-    // Requests sent before the pause fail late: they must not double it, or one bad moment pauses for minutes.
+    // Requests that were sent before the pause may fail during it. They must not double the pause, or one short outage
+    // would pause the target for minutes.
     const bool isLate = failures.pause > Millis{0} && now < failures.pausedUntil;
     if (!isLate && failures.consecutive >= this->d->settings.failuresToPause) {
         this->d->startPause(now, failures);
--- a/sequoiausher/coordination/limits/targethealth.h
+++ b/sequoiausher/coordination/limits/targethealth.h
@@ -1,18 +1,18 @@
 #pragma once
 
-// Which targets a router leaves alone for a while, because its own requests to them failed one after another.
+// A circuit breaker for targets: a router pauses a target after consecutive failures of its own requests.
 //
 //     TargetHealth health({});
 //     if (health.allowRequest(now, target)) { ... }
 //     health.recordFailure(now, target);      // or health.recordSuccess(target)
 //
-// States of a target: tried freely; paused after failuresToPause failures in a row; then one request at a time as a
-// probe: its success ends the matter, its failure doubles the pause. A probe that never ends counts as failed after
-// the probe limit.
+// States of a target: healthy; paused, after failuresToPause consecutive failures; then probed, by one request at a
+// time. A probe that succeeds makes the target healthy, one that fails doubles the pause. If a probe has no result
+// after probeTimeout, another one may start.
 //
-// This is one router's own view, made of its own failures, and saves time only. It never decides that a target is
-// gone, that a request did not run, or who owns anything. Where every target of a pool is paused, the caller should
-// try one all the same: a pause of everything is more likely the router's own network.
+// The state is that of one router, depends on its own failures only, and saves time only. It never decides that a
+// target is gone, that a request did not run, or who owns anything. If all targets of a pool are paused, the caller
+// should still send requests, since the cause is more likely the router's own network.
 
 #include "sequoiausher/base/identifiers.h"
 #include "sequoiausher/base/millis.h"
@@ -28,7 +28,7 @@
     std::uint32_t failuresToPause = 3;
     Millis initialPause{500};
     Millis maxPause{30000};
-    /** A probe without result is given up after this. */
+    /** Another probe is allowed if a probe has no result after this time. */
     Millis probeTimeout{10000};
 };
 
@@ -40,17 +40,17 @@
     TargetHealth(TargetHealth &&) noexcept;
     TargetHealth &operator=(TargetHealth &&) noexcept;
 
-    /** Whether a request may be sent. After a pause true counts as the probe: report how it ended. */
+    /** Whether a request may be sent. After a pause, this starts a probe, whose result must be recorded. */
     bool allowRequest(Millis now, const TargetId &target);
-    /** Whether the target is left alone now; does not start a probe. For choosing among targets. */
+    /** Whether the target is paused or being probed. Starts no probe, so it can be used for choosing targets. */
     bool isPaused(Millis now, const TargetId &target) const;
-    /** A request came through: the target answered, whatever it said. */
+    /** Records that the target answered a request, whatever the answer. */
     void recordSuccess(const TargetId &target);
-    /** The target could not be reached, broke off or was silent. Not for refusals by the target. */
+    /** Records that the target was unreachable, broke off its answer or was silent. Not for refusals by the target. */
     void recordFailure(Millis now, const TargetId &target);
-    /** The target is gone from the lists, or came back as another incarnation. */
+    /** Drops the state of a target that was removed or has a new incarnation. */
     void forget(const TargetId &target);
-    /** Targets with failures; the others take no memory. */
+    /** The number of targets with failures; other targets take no memory. */
     std::size_t count() const;
 
 private:
--- a/sequoiausher/coordination/limits/targethealthtest.cpp
+++ b/sequoiausher/coordination/limits/targethealthtest.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-TEST_CASE("single failures do not pause, three in a row do")
+TEST_CASE("a target is paused after three consecutive failures, not after fewer")
 {
     TargetHealth health({});
     for (int i = 0; i < 10; ++i) {
@@ -36,7 +36,7 @@
     CHECK(!other.isPaused(Millis{500}, plate));
 }
 
-TEST_CASE("after the pause one probe at a time: success ends it, failure doubles it up to the longest")
+TEST_CASE("after the pause there is one probe at a time: success ends the pause, failure doubles it up to the maximum")
 {
     TargetHealth health = paused();
     CHECK(health.allowRequest(Millis{500}, plate));
@@ -63,9 +63,9 @@
     }
 }
 
-// Symptom: a target that is well again gets no traffic for minutes. Sequence: the probe's connection goes silent, and
-// its result never comes. Cause: the probe holds its place for ever.
-TEST_CASE("a probe without result is given up")
+// Guards against a recovered target without traffic for minutes: the connection of the probe is silent, so the probe
+// has no result, and it must not prevent further probes for ever.
+TEST_CASE("a probe without a result times out")
 {
     TargetHealth health = paused();
     CHECK(health.allowRequest(Millis{500}, plate));
@@ -73,9 +73,9 @@
     CHECK(health.allowRequest(Millis{10500}, plate));
 }
 
-// Symptom: one lost second pauses a target for half a minute. Sequence: thirty requests in flight fail together.
-// Cause: each of them doubles the pause.
-TEST_CASE("failures that come in late do not lengthen the pause")
+// Guards against an outage of one second that pauses a target for half a minute: thirty requests in flight fail at the
+// same time, and each of them doubled the pause.
+TEST_CASE("failures during a pause do not lengthen it")
 {
     TargetHealth health = paused();
     for (int i = 0; i < 30; ++i) {
--- a/sequoiausher/coordination/rules/condition.cpp
+++ b/sequoiausher/coordination/rules/condition.cpp
@@ -115,8 +115,7 @@
     return *hour * minutesPerHour + *minute;
 }
 
-/** Parses HH:MM-HH:MM, exclusive of the end, which is on the next day if it is before the start. Empty if text is
- * invalid. */
+/** Parses HH:MM-HH:MM without the end, which may be on the next day. Returns nothing if text is invalid. */
 std::vector<NumberRange> parseTimeRanges(std::string_view text)
 {
     const std::size_t dash = text.find('-');
--- a/sequoiausher/coordination/rules/condition.h
+++ b/sequoiausher/coordination/rules/condition.h
@@ -88,7 +88,9 @@
 /** Returns the estimate used for prompt_tokens: one token per four bytes. */
 std::uint64_t estimatedTokens(std::uint64_t promptBytes);
 
-/** Reads every `when.` key of a rule's section. @param salt the salt for chat_share if the rule has no when.chat_salt.
+/**
+ * Reads every `when.` key of a rule's section.
+ * @param salt the salt for chat_share if the rule has no when.chat_salt.
  */
 std::vector<Condition> parseConditions(SectionReader &section, const std::string &salt);
 
--- a/sequoiausher/coordination/rules/decision.h
+++ b/sequoiausher/coordination/rules/decision.h
@@ -22,8 +22,10 @@
     None,
     /** If the target certainly did not run the request. */
     Safe,
-    /** Also if the target may have run the request. Only for requests without an idempotency key; the author of the
-     * rule guarantees that running them twice is harmless. */
+    /**
+     * Also if the target may have run the request. Only for requests without an idempotency key; the author of the rule
+     * guarantees that running them twice is harmless.
+     */
     Idempotent,
 };
 
@@ -84,8 +86,7 @@
 {
     /** Requests per second over the whole fleet. */
     std::optional<std::uint32_t> ratePerSecond;
-    /** Requests above the rate at one time, over the whole fleet; by default as many as the rate gives in two seconds.
-     */
+    /** Requests at once on top of the rate, over the whole fleet; by default the rate times two seconds. */
     std::optional<std::uint32_t> burst;
     /** Requests in flight in each router. */
     std::optional<std::uint32_t> inFlight;
--- a/sequoiausher/coordination/rules/ruleset.h
+++ b/sequoiausher/coordination/rules/ruleset.h
@@ -70,8 +70,7 @@
     RuleSet(const RuleSet &) = delete;
     RuleSet &operator=(const RuleSet &) = delete;
 
-    /** Returns the decision of the first rule whose conditions hold; std::nullopt if there is none (answered with 404).
-     */
+    /** Returns the decision of the first rule whose conditions hold. Without one, the request is answered with 404. */
     std::optional<Decision> decide(const RequestFacts &facts) const;
 
     /** Returns the decision of decide() and the rules that led to it. */
