--- a/lab/scenarios/targetcallfaultstest.cpp
+++ b/lab/scenarios/targetcallfaultstest.cpp
@@ -132,7 +132,7 @@
         {R"({"mode": "silent", "value": 1})", false, TargetFailure::NoHead},
         {R"({"mode": "wrong_id"})", true, TargetFailure::WrongAnswer},
         {R"({"mode": "wrong_id"})", false, TargetFailure::WrongAnswer},
-        {R"({"mode": "break_midway", "value": 3})", true, TargetFailure::BrokeOff},
+        {R"({"mode": "break_midway", "value": 3})", true, TargetFailure::AnswerTruncated},
     };
     for (const Case &row : cases) {
         const std::string fault = row.fault;
@@ -145,7 +145,7 @@
         CHECK(bench.notes.failure == row.failure);
         CHECK(bench.notes.complete == !row.failure.has_value());
         CHECK((row.failure.has_value() || bench.isWhole(row.streamed)));
-        const bool begun = !row.failure || *row.failure == TargetFailure::BrokeOff;
+        const bool begun = !row.failure || *row.failure == TargetFailure::AnswerTruncated;
         CHECK(bench.notes.body.empty() == !begun);
     }
 }
@@ -181,7 +181,7 @@
     bench.setFault(R"({"mode": "break_midway", "value": 3})");
     bench.call->dispatch(bench.address(), false);
     REQUIRE(bench.run());
-    REQUIRE(bench.notes.failure == TargetFailure::BrokeOff);
+    REQUIRE(bench.notes.failure == TargetFailure::AnswerTruncated);
     bench.setFault(R"({"mode": "none"})");
     bench.notes.ended = false;
     bench.notes.failure.reset();
--- a/sequoiausher/coordination/flow/flowaction.h
+++ b/sequoiausher/coordination/flow/flowaction.h
@@ -40,7 +40,7 @@
     /** The connection was lost or silent before the answer's head. */
     NoHead,
     /** The answer began and broke off. */
-    BrokeOff,
+    AnswerTruncated,
     /** The answer was another request's. */
     WrongAnswer,
     /** The engine does not know the stream that was to be resumed. */
@@ -52,7 +52,7 @@
     {TargetFailure::NeverSent, "never-sent"},
     {TargetFailure::RefusedByTarget, "refused-by-target"},
     {TargetFailure::NoHead, "no-head"},
-    {TargetFailure::BrokeOff, "broke-off"},
+    {TargetFailure::AnswerTruncated, "broke-off"},
     {TargetFailure::WrongAnswer, "wrong-answer"},
     {TargetFailure::CannotResume, "cannot-resume"},
 });
@@ -83,7 +83,7 @@
     NoQuorum,
     KeyReused,
     DeadlinePassed,
-    WokeLate,
+    RouterPaused,
     TargetUnreachable,
     OutcomeUnknown,
     ClientGone,
@@ -98,7 +98,7 @@
     {RefusalReason::NoQuorum, "claim_no_quorum"},
     {RefusalReason::KeyReused, "idempotency_key_reused"},
     {RefusalReason::DeadlinePassed, "deadline_passed"},
-    {RefusalReason::WokeLate, "router_paused"},
+    {RefusalReason::RouterPaused, "router_paused"},
     {RefusalReason::TargetUnreachable, "target_unreachable"},
     {RefusalReason::OutcomeUnknown, "outcome_unknown"},
     {RefusalReason::ClientGone, "client_gone"},
@@ -180,7 +180,7 @@
 };
 
 /** The answer began and cannot be completed: an explicit error event, or a broken body. */
-struct BreakOff
+struct AbortAnswer
 {
     RefusalReason reason = RefusalReason::OutcomeUnknown;
 };
@@ -197,7 +197,7 @@
                                 RelayHead,
                                 RelayEnd,
                                 Refuse,
-                                BreakOff>;
+                                AbortAnswer>;
 
 using FlowActions = std::vector<FlowAction>;
 
--- a/sequoiausher/coordination/flow/requestflow.cpp
+++ b/sequoiausher/coordination/flow/requestflow.cpp
@@ -14,7 +14,7 @@
 constexpr int statusTimeout = 504;
 
 /** How often a request claims its key: again where whoever held it turned out not to have run. */
-constexpr int maxBeginnings = 4;
+constexpr int maxClaimAttempts = 4;
 
 enum class Stage {
     /** Waiting for the claim, the reservation or both. */
@@ -28,7 +28,7 @@
     Done,
 };
 
-enum class Part {
+enum class HoldState {
     NotNeeded,
     Awaited,
     Held,
@@ -44,57 +44,57 @@
 class RequestFlow::Private
 {
 public:
-    explicit Private(const FlowFacts &theFacts) : facts(theFacts)
+    explicit Private(const FlowFacts &flowFacts) : facts(flowFacts)
     {
     }
 
-    void giveBack(FlowActions &actions);
+    void releaseHeld(FlowActions &actions);
     void finishWith(FlowActions &actions, const FlowAction &last);
     void refuseNotRun(FlowActions &actions, int status, RefusalReason reason, Millis retryAfter);
-    void endUnknown(FlowActions &actions, int status, RefusalReason reason);
+    void endWithUnknownOutcome(FlowActions &actions, int status, RefusalReason reason);
     void dispatchIfReady(FlowActions &actions);
     bool canResume(TargetFailure failure) const;
     bool canResend(TargetFailure failure) const;
     void tryNextTarget(FlowActions &actions);
-    bool beginAgain(FlowActions &actions);
+    bool restartAdmission(FlowActions &actions);
 
     FlowFacts facts;
     Stage stage = Stage::Admitting;
-    Part claim = Part::NotNeeded;
-    Part reservation = Part::Awaited;
+    HoldState claim = HoldState::NotNeeded;
+    HoldState reservation = HoldState::Awaited;
     TargetId target;
     std::vector<TargetId> excluded;
     /** Set where no target can be had, until the claim says whether an earlier attempt has the key. */
-    std::optional<Refuse> afterClaim;
+    std::optional<Refuse> refusalAfterClaim;
     /** The claim showed that no other attempt of the key ran, so that 'not run' is the truth. */
-    bool keyIsOurs = false;
+    bool isKeyOwned = false;
     int dispatches = 0;
     int resumes = 0;
-    int beginnings = 1;
+    int claimAttempts = 1;
     /** The dispatch in progress, or an earlier one, may have run. */
     bool possiblyRun = false;
     /** An earlier dispatch of this idempotent request may have run. */
-    bool earlierMayHaveRun = false;
+    bool mayHaveRunEarlier = false;
     bool headRelayed = false;
 };
 
 // Gives back whatever is still held: the reservation always, the claim only where the request surely was not sent.
 // Withdrawing the claim of a request that may have run would let a retry run it a second time.
-void RequestFlow::Private::giveBack(FlowActions &actions)
+void RequestFlow::Private::releaseHeld(FlowActions &actions)
 {
-    if (this->reservation != Part::NotNeeded) {
+    if (this->reservation != HoldState::NotNeeded) {
         actions.emplace_back(ReleaseReservation{});
-        this->reservation = Part::NotNeeded;
+        this->reservation = HoldState::NotNeeded;
     }
-    if (this->claim != Part::NotNeeded && !this->possiblyRun) {
+    if (this->claim != HoldState::NotNeeded && !this->possiblyRun) {
         actions.emplace_back(WithdrawClaim{});
     }
-    this->claim = Part::NotNeeded;
+    this->claim = HoldState::NotNeeded;
 }
 
 void RequestFlow::Private::finishWith(FlowActions &actions, const FlowAction &last)
 {
-    this->giveBack(actions);
+    this->releaseHeld(actions);
     actions.push_back(last);
     this->stage = Stage::Done;
 }
@@ -102,14 +102,14 @@
 // This call was not run. Whether the request was is known only where it has no key, or the key was found free.
 void RequestFlow::Private::refuseNotRun(FlowActions &actions, int status, RefusalReason reason, Millis retryAfter)
 {
-    const Ran ran = this->facts.claims && !this->keyIsOurs ? Ran::Unknown : Ran::No;
+    const Ran ran = this->facts.needsClaim && !this->isKeyOwned ? Ran::Unknown : Ran::No;
     this->finishWith(actions, Refuse{status, ran, reason, retryAfter});
 }
 
-void RequestFlow::Private::endUnknown(FlowActions &actions, int status, RefusalReason reason)
+void RequestFlow::Private::endWithUnknownOutcome(FlowActions &actions, int status, RefusalReason reason)
 {
     if (this->headRelayed) {
-        this->finishWith(actions, BreakOff{reason});
+        this->finishWith(actions, AbortAnswer{reason});
     } else {
         this->finishWith(actions, Refuse{status, Ran::Unknown, reason, Millis{0}});
     }
@@ -117,7 +117,7 @@
 
 void RequestFlow::Private::dispatchIfReady(FlowActions &actions)
 {
-    if (this->claim == Part::Awaited || this->reservation != Part::Held) {
+    if (this->claim == HoldState::Awaited || this->reservation != HoldState::Held) {
         return;
     }
     this->stage = Stage::Dispatched;
@@ -135,11 +135,11 @@
 
 void RequestFlow::Private::tryNextTarget(FlowActions &actions)
 {
-    this->earlierMayHaveRun = this->possiblyRun;
+    this->mayHaveRunEarlier = this->possiblyRun;
     this->excluded.push_back(this->target);
     actions.emplace_back(ReleaseReservation{});
     actions.emplace_back(Reserve{this->excluded});
-    this->reservation = Part::Awaited;
+    this->reservation = HoldState::Awaited;
     this->stage = Stage::Admitting;
 }
 
@@ -151,16 +151,16 @@
 
 // The holder of the key gave its attempt up, so the key is free: this call claims it anew. Without this a duplicate
 // would be refused, though nobody ran the request, each time the first call's router found no place for it.
-bool RequestFlow::Private::beginAgain(FlowActions &actions)
+bool RequestFlow::Private::restartAdmission(FlowActions &actions)
 {
-    if (this->beginnings >= maxBeginnings) {
+    if (this->claimAttempts >= maxClaimAttempts) {
         return false;
     }
-    this->beginnings += 1;
+    this->claimAttempts += 1;
     this->stage = Stage::Admitting;
-    this->claim = Part::Awaited;
-    this->reservation = Part::Awaited;
-    this->afterClaim.reset();
+    this->claim = HoldState::Awaited;
+    this->reservation = HoldState::Awaited;
+    this->refusalAfterClaim.reset();
     actions.emplace_back(StartClaim{});
     actions.emplace_back(Reserve{this->excluded});
     return true;
@@ -176,12 +176,12 @@
 {
     FlowActions actions;
     if (now >= this->d->facts.deadline) {
-        this->d->reservation = Part::NotNeeded;
+        this->d->reservation = HoldState::NotNeeded;
         this->d->refuseNotRun(actions, statusTimeout, RefusalReason::DeadlinePassed, this->d->facts.retryAfter);
         return actions;
     }
-    if (this->d->facts.claims) {
-        this->d->claim = Part::Awaited;
+    if (this->d->facts.needsClaim) {
+        this->d->claim = HoldState::Awaited;
         actions.emplace_back(StartClaim{});
     }
     actions.emplace_back(Reserve{});
@@ -191,23 +191,23 @@
 FlowActions RequestFlow::claimed(Millis now, const ClaimFinding &finding)
 {
     FlowActions actions = this->tick(now);
-    if (this->d->stage != Stage::Admitting || this->d->claim != Part::Awaited) {
+    if (this->d->stage != Stage::Admitting || this->d->claim != HoldState::Awaited) {
         return actions;
     }
     // Only an acquired claim is ours to withdraw later.
-    this->d->claim = finding.result == ClaimResult::Acquired ? Part::Held : Part::NotNeeded;
+    this->d->claim = finding.result == ClaimResult::Acquired ? HoldState::Held : HoldState::NotNeeded;
     switch (finding.result) {
     case ClaimResult::Acquired:
-        this->d->keyIsOurs = true;
-        if (this->d->afterClaim) {
-            const Refuse refuse = *this->d->afterClaim;
+        this->d->isKeyOwned = true;
+        if (this->d->refusalAfterClaim) {
+            const Refuse refuse = *this->d->refusalAfterClaim;
             this->d->refuseNotRun(actions, refuse.status, refuse.reason, refuse.retryAfter);
         } else {
             this->d->dispatchIfReady(actions);
         }
         break;
     case ClaimResult::HeldByOther:
-        this->d->giveBack(actions);
+        this->d->releaseHeld(actions);
         this->d->stage = Stage::Attached;
         actions.emplace_back(AttachToHolder{finding.holder, finding.heldBy});
         break;
@@ -224,29 +224,29 @@
 FlowActions RequestFlow::reserved(Millis now, const ReserveReply &reply)
 {
     FlowActions actions = this->tick(now);
-    if (this->d->stage != Stage::Admitting || this->d->reservation != Part::Awaited) {
+    if (this->d->stage != Stage::Admitting || this->d->reservation != HoldState::Awaited) {
         // The request ended or attached elsewhere meanwhile; a place granted now must not leak.
-        if (reply.verdict == ReserveVerdict::Granted && this->d->reservation != Part::Held) {
+        if (reply.verdict == ReserveVerdict::Granted && this->d->reservation != HoldState::Held) {
             actions.emplace_back(ReleaseReservation{});
         }
         return actions;
     }
     if (reply.verdict == ReserveVerdict::Granted) {
-        this->d->reservation = Part::Held;
+        this->d->reservation = HoldState::Held;
         this->d->target = reply.target;
         this->d->dispatchIfReady(actions);
         return actions;
     }
-    this->d->reservation = Part::NotNeeded;
+    this->d->reservation = HoldState::NotNeeded;
     const Millis retryAfter = reply.retryAfter > Millis{0} ? reply.retryAfter : this->d->facts.retryAfter;
     const RefusalReason reason
         = reply.verdict == ReserveVerdict::Full ? RefusalReason::PoolFull : RefusalReason::NoTarget;
     if (this->d->possiblyRun) {
         // A second dispatch of an idempotent request found no place; the first may have run.
-        this->d->endUnknown(actions, statusBadGateway, reason);
-    } else if (this->d->claim == Part::Awaited) {
-        this->d->afterClaim = Refuse{statusUnavailable, Ran::No, reason, retryAfter};
-    } else if (reason == RefusalReason::PoolFull && !this->d->facts.claims) {
+        this->d->endWithUnknownOutcome(actions, statusBadGateway, reason);
+    } else if (this->d->claim == HoldState::Awaited) {
+        this->d->refusalAfterClaim = Refuse{statusUnavailable, Ran::No, reason, retryAfter};
+    } else if (reason == RefusalReason::PoolFull && !this->d->facts.needsClaim) {
         actions.emplace_back(Requeue{retryAfter});
     } else {
         this->d->refuseNotRun(actions, statusUnavailable, reason, retryAfter);
@@ -257,8 +257,8 @@
 FlowActions RequestFlow::requeued(Millis now)
 {
     FlowActions actions = this->tick(now);
-    if (this->d->stage == Stage::Admitting && this->d->reservation == Part::NotNeeded) {
-        this->d->reservation = Part::Awaited;
+    if (this->d->stage == Stage::Admitting && this->d->reservation == HoldState::NotNeeded) {
+        this->d->reservation = HoldState::Awaited;
         actions.emplace_back(Reserve{this->d->excluded});
     }
     return actions;
@@ -280,13 +280,13 @@
         return actions;
     }
     (void)now;
-    this->d->possiblyRun = this->d->earlierMayHaveRun;
+    this->d->possiblyRun = this->d->mayHaveRunEarlier;
     // While this router slept, the witnesses may have forgotten the claim and let another attempt run.
-    this->d->keyIsOurs = false;
+    this->d->isKeyOwned = false;
     if (this->d->possiblyRun) {
-        this->d->endUnknown(actions, statusBadGateway, RefusalReason::WokeLate);
+        this->d->endWithUnknownOutcome(actions, statusBadGateway, RefusalReason::RouterPaused);
     } else {
-        this->d->refuseNotRun(actions, statusUnavailable, RefusalReason::WokeLate, this->d->facts.retryAfter);
+        this->d->refuseNotRun(actions, statusUnavailable, RefusalReason::RouterPaused, this->d->facts.retryAfter);
     }
     return actions;
 }
@@ -328,7 +328,7 @@
         return actions;
     }
     if (isSurelyNotRun(failure)) {
-        this->d->possiblyRun = this->d->earlierMayHaveRun;
+        this->d->possiblyRun = this->d->mayHaveRunEarlier;
     }
     if (this->d->canResume(failure)) {
         this->d->resumes += 1;
@@ -344,7 +344,7 @@
         return actions;
     }
     actions.emplace_back(CancelAtTarget{this->d->target});
-    this->d->endUnknown(actions, statusBadGateway, RefusalReason::OutcomeUnknown);
+    this->d->endWithUnknownOutcome(actions, statusBadGateway, RefusalReason::OutcomeUnknown);
     return actions;
 }
 
@@ -354,13 +354,13 @@
     if (this->d->stage != Stage::Attached) {
         return actions;
     }
-    if (ran == Ran::No && !this->d->headRelayed && this->d->beginAgain(actions)) {
+    if (ran == Ran::No && !this->d->headRelayed && this->d->restartAdmission(actions)) {
         return actions;
     }
     if (ran == Ran::No && !this->d->headRelayed) {
         this->d->refuseNotRun(actions, statusUnavailable, RefusalReason::TargetUnreachable, this->d->facts.retryAfter);
     } else {
-        this->d->endUnknown(actions, statusConflict, RefusalReason::OutcomeUnknown);
+        this->d->endWithUnknownOutcome(actions, statusConflict, RefusalReason::OutcomeUnknown);
     }
     return actions;
 }
@@ -370,7 +370,7 @@
     FlowActions actions;
     (void)now;
     const bool sent = this->d->stage == Stage::Dispatched || this->d->stage == Stage::Relaying;
-    if (this->d->stage == Stage::Done || (sent && this->d->facts.claims)) {
+    if (this->d->stage == Stage::Done || (sent && this->d->facts.needsClaim)) {
         return actions;
     }
     if (sent) {
@@ -389,9 +389,9 @@
     }
     if (this->d->stage == Stage::Dispatched || this->d->stage == Stage::Relaying) {
         actions.emplace_back(CancelAtTarget{this->d->target});
-        this->d->endUnknown(actions, statusTimeout, RefusalReason::DeadlinePassed);
+        this->d->endWithUnknownOutcome(actions, statusTimeout, RefusalReason::DeadlinePassed);
     } else if (this->d->stage == Stage::Attached || this->d->possiblyRun) {
-        this->d->endUnknown(actions, statusTimeout, RefusalReason::DeadlinePassed);
+        this->d->endWithUnknownOutcome(actions, statusTimeout, RefusalReason::DeadlinePassed);
     } else {
         this->d->refuseNotRun(actions, statusTimeout, RefusalReason::DeadlinePassed, this->d->facts.retryAfter);
     }
--- a/sequoiausher/coordination/flow/requestflow.h
+++ b/sequoiausher/coordination/flow/requestflow.h
@@ -26,7 +26,7 @@
      * is known of earlier attempts, so an end before that says 'unknown' and not 'not run': the request is the key's,
      * and a first attempt may be running elsewhere.
      */
-    bool claims = false;
+    bool needsClaim = false;
     /** Running it twice does no harm: it may be sent again after it may have run. */
     bool idempotent = false;
     /** The target is an engine, whose streams can be resumed. */
--- a/sequoiausher/coordination/flow/requestflowtest.cpp
+++ b/sequoiausher/coordination/flow/requestflowtest.cpp
@@ -37,7 +37,7 @@
 FlowFacts claimedFacts()
 {
     FlowFacts facts;
-    facts.claims = true;
+    facts.needsClaim = true;
     facts.deadline = start + Millis{5000};
     return facts;
 }
@@ -47,7 +47,7 @@
 {
     auto flow = std::make_unique<RequestFlow>(facts);
     flow->start(start);
-    if (facts.claims) {
+    if (facts.needsClaim) {
         flow->claimed(start, ClaimFinding{ClaimResult::Acquired, {}, {}, {}});
     }
     const FlowActions actions = flow->reserved(start, granted(firstTarget));
@@ -109,9 +109,9 @@
         {"no head: may have run", TargetFailure::NoHead, false, false, false, false, false, false},
         {"no head, idempotent: sent again", TargetFailure::NoHead, true, false, false, true, false, false},
         {"no head from an engine: resumed", TargetFailure::NoHead, false, true, false, false, true, false},
-        {"broke off at an engine: resumed", TargetFailure::BrokeOff, false, true, true, false, true, false},
-        {"broke off at a service", TargetFailure::BrokeOff, false, false, true, false, false, true},
-        {"broke off, idempotent, but begun", TargetFailure::BrokeOff, true, false, true, false, false, true},
+        {"broke off at an engine: resumed", TargetFailure::AnswerTruncated, false, true, true, false, true, false},
+        {"broke off at a service", TargetFailure::AnswerTruncated, false, false, true, false, false, true},
+        {"broke off, idempotent, but begun", TargetFailure::AnswerTruncated, true, false, true, false, false, true},
         {"another request's answer", TargetFailure::WrongAnswer, false, false, false, false, false, false},
         {"cannot resume", TargetFailure::CannotResume, false, true, true, false, false, true},
     };
@@ -127,7 +127,7 @@
         const FlowActions actions = flow->targetFailed(start, each.failure);
         CHECK(has<Reserve>(actions) == each.triesNext);
         CHECK(has<ResumeStream>(actions) == each.resumes);
-        CHECK(has<BreakOff>(actions) == each.breaksOff);
+        CHECK(has<AbortAnswer>(actions) == each.breaksOff);
         const bool ends = !each.triesNext && !each.resumes;
         CHECK(flow->isDone() == ends);
         if (ends) {
@@ -271,7 +271,7 @@
     const FlowActions actions = flow->dispatchTooLate(start + Millis{4000});
     REQUIRE(has<Refuse>(actions));
     CHECK(find<Refuse>(actions)->ran == Ran::Unknown);
-    CHECK(find<Refuse>(actions)->reason == RefusalReason::WokeLate);
+    CHECK(find<Refuse>(actions)->reason == RefusalReason::RouterPaused);
     CHECK(has<WithdrawClaim>(actions));
 }
 
--- a/sequoiausher/transport/router/answerwriter.cpp
+++ b/sequoiausher/transport/router/answerwriter.cpp
@@ -21,7 +21,7 @@
         return "The idempotency key was used before for a different request.";
     case RefusalReason::DeadlinePassed:
         return "The deadline has passed.";
-    case RefusalReason::WokeLate:
+    case RefusalReason::RouterPaused:
         return "The router was paused and did not send the request.";
     case RefusalReason::TargetUnreachable:
         return "No target could be reached.";
--- a/sequoiausher/transport/router/flowresults.cpp
+++ b/sequoiausher/transport/router/flowresults.cpp
@@ -52,7 +52,7 @@
     case RefusalReason::ShedByLimit:
         return Outcome::RefusedLimit;
     case RefusalReason::NoQuorum:
-    case RefusalReason::WokeLate:
+    case RefusalReason::RouterPaused:
         return Outcome::RefusedNoQuorum;
     case RefusalReason::KeyReused:
         return Outcome::RefusedInvalid;
--- a/sequoiausher/transport/router/flowresultstest.cpp
+++ b/sequoiausher/transport/router/flowresultstest.cpp
@@ -71,7 +71,7 @@
         {RefusalReason::TargetUnreachable, Ran::No, Outcome::RefusedFull},
         {RefusalReason::Stopping, Ran::No, Outcome::RefusedFull},
         {RefusalReason::NoQuorum, Ran::No, Outcome::RefusedNoQuorum},
-        {RefusalReason::WokeLate, Ran::No, Outcome::RefusedNoQuorum},
+        {RefusalReason::RouterPaused, Ran::No, Outcome::RefusedNoQuorum},
         {RefusalReason::KeyReused, Ran::No, Outcome::RefusedInvalid},
         {RefusalReason::DeadlinePassed, Ran::No, Outcome::RefusedDeadline},
         {RefusalReason::DeadlinePassed, Ran::Unknown, Outcome::Unknown},
--- a/sequoiausher/transport/router/requestsessionprivate.cpp
+++ b/sequoiausher/transport/router/requestsessionprivate.cpp
@@ -53,8 +53,8 @@
                                {"reason", reason},
                                {"request", this->order.request.toHex()}});
     this->context.metrics.add("target_failures_total{failure=\"" + std::string(nameOf(failure)) + "\"}");
-    const bool unreachable
-        = failure == TargetFailure::NeverSent || failure == TargetFailure::NoHead || failure == TargetFailure::BrokeOff;
+    const bool unreachable = failure == TargetFailure::NeverSent || failure == TargetFailure::NoHead
+        || failure == TargetFailure::AnswerTruncated;
     if (unreachable) {
         this->context.node.targetFailed(this->target);
     }
@@ -334,7 +334,7 @@
     this->relay.refuse(refusal, this->flow.mayHaveRun(), !this->joined.isHeadTold());
 }
 
-void RequestSession::Private::act(const BreakOff &action)
+void RequestSession::Private::act(const AbortAnswer &action)
 {
     this->relay.breakOff(action.reason, this->flow.mayHaveRun());
 }
--- a/sequoiausher/transport/router/requestsessionprivate.h
+++ b/sequoiausher/transport/router/requestsessionprivate.h
@@ -69,7 +69,7 @@
     void act(const RelayHead &action);
     void act(const RelayEnd &action);
     void act(const Refuse &action);
-    void act(const BreakOff &action);
+    void act(const AbortAnswer &action);
 
     bool claimHolds();
     void callFailed(TargetFailure failure);
--- a/sequoiausher/transport/router/sessionorder.cpp
+++ b/sequoiausher/transport/router/sessionorder.cpp
@@ -10,8 +10,8 @@
 FlowFacts flowFactsOf(const SessionOrder &order)
 {
     FlowFacts facts;
-    facts.claims = claimsKey(order);
-    facts.idempotent = order.decision.retry == RetryMode::Idempotent && !facts.claims;
+    facts.needsClaim = claimsKey(order);
+    facts.idempotent = order.decision.retry == RetryMode::Idempotent && !facts.needsClaim;
     facts.resumable = order.parsed.isChat && order.parsed.streamed;
     facts.deadline = order.deadline;
     facts.maxDispatches = order.decision.retry == RetryMode::None ? 1 : FlowFacts{}.maxDispatches;
--- a/sequoiausher/transport/router/sessionordertest.cpp
+++ b/sequoiausher/transport/router/sessionordertest.cpp
@@ -51,7 +51,7 @@
         const FlowFacts facts = flowFactsOf(orderWith(expected.key, ClaimMode::Optional, expected.retry));
         CHECK(facts.idempotent == expected.idempotent);
         CHECK(facts.maxDispatches == expected.maxDispatches);
-        CHECK(facts.claims == !expected.key.empty());
+        CHECK(facts.needsClaim == !expected.key.empty());
     }
 }
 
--- a/sequoiausher/transport/router/targetcall.cpp
+++ b/sequoiausher/transport/router/targetcall.cpp
@@ -107,7 +107,7 @@
     this->status = code;
     this->contentType = std::string(headers.value("Content-Type"));
     if (this->resuming && code != statusOk) {
-        this->fail(code == statusNotFound ? TargetFailure::CannotResume : TargetFailure::BrokeOff,
+        this->fail(code == statusNotFound ? TargetFailure::CannotResume : TargetFailure::AnswerTruncated,
                    "resuming: status " + std::to_string(code));
         return;
     }
@@ -136,7 +136,7 @@
         return;
     }
     if (this->whole.size() + bytes.size() > maximumWholeBytes) {
-        this->fail(TargetFailure::BrokeOff, "the answer is too large");
+        this->fail(TargetFailure::AnswerTruncated, "the answer is too large");
         return;
     }
     this->whole.append(bytes);
@@ -163,7 +163,7 @@
                 this->listener.targetPart(relayed);
             }
             const bool gap = verdict == ChunkVerdict::Gap;
-            this->fail(gap ? TargetFailure::BrokeOff : TargetFailure::WrongAnswer,
+            this->fail(gap ? TargetFailure::AnswerTruncated : TargetFailure::WrongAnswer,
                        gap ? "chunks are missing" : "a chunk of another answer");
             return;
         }
@@ -190,7 +190,7 @@
             this->drop();
             this->listener.targetComplete(this->check.usage());
         } else {
-            this->fail(TargetFailure::BrokeOff, "the stream ended without its end mark");
+            this->fail(TargetFailure::AnswerTruncated, "the stream ended without its end mark");
         }
         return;
     }
@@ -214,11 +214,11 @@
 void TargetCall::Private::onError(const ClientError &error)
 {
     if (error.kind == ClientErrorKind::RefusedBeforeSend || error.surelyNotSent) {
-        this->fail(this->resuming ? TargetFailure::BrokeOff : TargetFailure::NeverSent, error.reason);
+        this->fail(this->resuming ? TargetFailure::AnswerTruncated : TargetFailure::NeverSent, error.reason);
         return;
     }
     const bool begun = this->headTold || this->resuming;
-    this->fail(begun ? TargetFailure::BrokeOff : TargetFailure::NoHead, error.reason);
+    this->fail(begun ? TargetFailure::AnswerTruncated : TargetFailure::NoHead, error.reason);
 }
 
 void TargetCall::Private::fail(TargetFailure failure, const std::string &reason)
@@ -277,7 +277,7 @@
 {
     const bool silent = now - this->d->heardAt >= this->d->request.streamSilence;
     if (this->d->call && this->d->streaming && !this->d->paused && silent) {
-        this->d->fail(TargetFailure::BrokeOff, "the stream went silent");
+        this->d->fail(TargetFailure::AnswerTruncated, "the stream went silent");
     }
 }
 
