--- a/sequoiausher/coordination/flow/flowaction.h
+++ b/sequoiausher/coordination/flow/flowaction.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What happens to one request, and what is to be done about it: the events that go into a RequestFlow and the actions
-// that come out. The caller carries the actions out in order and feeds their results back as later events.
+// The types of the inputs and outputs of a RequestFlow: the outcomes that it is informed of, and the actions that it
+// returns. The caller executes the actions in order, and reports their results to the RequestFlow.
 //
 //     for (const FlowAction &action : flow.start(now)) { std::visit(executor, action); }
 
@@ -15,12 +15,12 @@
 
 namespace Sequoiausher {
 
-/** Whether the caller may believe that its request was run. */
+/** Whether a request was run, as reported to the client. */
 enum class Ran {
     Yes,
-    /** Surely not run: it may be sent again. */
+    /** Certainly not run, so it may be resent. */
     No,
-    /** It may have run; the system does not send it again. */
+    /** The request may have run; the system does not resend it. */
     Unknown,
 };
 
@@ -31,19 +31,19 @@
     {Ran::Unknown, "unknown"},
 });
 
-/** How a call to a target ended where it brought no whole answer. */
+/** Why a call to a target gave no complete answer. */
 enum class TargetFailure {
-    /** Nothing was written: the target never had the request. */
+    /** Nothing was written, so the target never received the request. */
     NeverSent,
-    /** The target itself says that it did not run the request. */
+    /** The target reported that it did not run the request. */
     RefusedByTarget,
-    /** The connection was lost or silent before the answer's head. */
+    /** The connection was lost or silent before the head of the answer. */
     NoHead,
-    /** The answer began and broke off. */
+    /** The answer began but was not completed. */
     AnswerTruncated,
-    /** The answer was another request's. */
+    /** The answer belongs to another request. */
     WrongAnswer,
-    /** The engine does not know the stream that was to be resumed. */
+    /** The engine no longer has the stream that was to be resumed. */
     CannotResume,
 };
 
@@ -57,7 +57,7 @@
     {TargetFailure::CannotResume, "cannot-resume"},
 });
 
-/** The outcome of a claim as the flow needs it. */
+/** The result of claiming an idempotency key. */
 enum class ClaimResult {
     Acquired,
     /** Another attempt holds the key. */
@@ -66,7 +66,7 @@
     NoQuorum,
 };
 
-/** What the claimant found out. */
+/** The result of a claim, and the current holder of the key if there is another. */
 struct ClaimFinding
 {
     ClaimResult result = ClaimResult::NoQuorum;
@@ -75,7 +75,7 @@
     Millis retryAfter;
 };
 
-/** Why a request ends without an answer from a target. */
+/** Why a request ends without a complete answer from a target. */
 enum class RefusalReason {
     ShedByLimit,
     NoTarget,
@@ -110,76 +110,76 @@
 {
 };
 
-/** Give the claim up: the request was not and will not be dispatched. */
+/** Withdraw the claim. The request was not dispatched and will not be. */
 struct WithdrawClaim
 {
 };
 
-/** Reserve a place on a target other than these. */
+/** Reserve a place on a target that is not excluded. */
 struct Reserve
 {
     std::vector<TargetId> excluded;
 };
 
-/** No target has room: wait in the queue, then go on with RequestFlow::requeued(). */
+/** Wait in the queue, since no target has room, then call RequestFlow::requeued(). */
 struct Requeue
 {
     Millis retryAfter;
 };
 
-/** Give the reservation back. */
+/** Release the reservation. */
 struct ReleaseReservation
 {
 };
 
-/** Send the request to target. From here on it may have run. */
+/** Send the request to the target. From this point on, the request may have run. */
 struct Dispatch
 {
     TargetId target;
-    /** Only over a connection known to work, since it cannot be sent twice. */
+    /** Use only a connection that is known to work, since the request cannot be resent. */
     bool freshConnection = false;
 };
 
-/** Ask target for the stream from the first chunk that is missing. */
+/** Request the stream from the target, beginning with the first missing chunk. */
 struct ResumeStream
 {
     TargetId target;
 };
 
-/** Tell target to stop working on the request, and close the connection. */
+/** Cancel the request at the target, and close the connection. */
 struct CancelAtTarget
 {
     TargetId target;
 };
 
-/** Take the answer from the router that holds the key. */
+/** Get the answer from the router that holds the key. */
 struct AttachToHolder
 {
     InstanceId holder;
     RequestId heldBy;
 };
 
-/** Pass the answer's head to the client. */
+/** Send the head of the answer to the client. */
 struct RelayHead
 {
 };
 
-/** End the client's answer: it is whole. */
+/** End the complete answer to the client. */
 struct RelayEnd
 {
 };
 
-/** Answer the client with an error in place of an answer. */
+/** Send an error to the client instead of an answer. */
 struct Refuse
 {
     int status = 0;
     Ran ran = Ran::No;
     RefusalReason reason = RefusalReason::NoTarget;
-    /** Zero: trying again is of no use. */
+    /** Zero if a retry cannot succeed. */
     Millis retryAfter;
 };
 
-/** The answer began and cannot be completed: an explicit error event, or a broken body. */
+/** End an answer that has begun and cannot be completed, with an error event or an incomplete body. */
 struct AbortAnswer
 {
     RefusalReason reason = RefusalReason::OutcomeUnknown;
--- a/sequoiausher/coordination/flow/requestflow.cpp
+++ b/sequoiausher/coordination/flow/requestflow.cpp
@@ -13,11 +13,11 @@
 constexpr int statusUnavailable = 503;
 constexpr int statusTimeout = 504;
 
-/** How often a request claims its key: again where whoever held it turned out not to have run. */
+/** The maximum number of claims of a request, which claims its key again if the holder turns out not to have run it. */
 constexpr int maxClaimAttempts = 4;
 
 enum class Stage {
-    /** Waiting for the claim, the reservation or both. */
+    /** Waiting for the claim, the reservation or the queue. */
     Admitting,
     /** Sent to a target; no answer yet. */
     Dispatched,
@@ -64,9 +64,9 @@
     HoldState reservation = HoldState::Awaited;
     TargetId target;
     std::vector<TargetId> excluded;
-    /** Set where no target can be had, until the claim says whether an earlier attempt has the key. */
+    /** Set if no target is available, until the claim shows whether an earlier attempt holds the key. */
     std::optional<Refuse> refusalAfterClaim;
-    /** The claim showed that no other attempt of the key ran, so that 'not run' is the truth. */
+    /** The claim showed that no other attempt with the key ran, so that 'not run' is certain. */
     bool isKeyOwned = false;
     int dispatches = 0;
     int resumes = 0;
@@ -78,8 +78,8 @@
     bool headRelayed = false;
 };
 
-// Gives back whatever is still held: the reservation always, the claim only where the request surely was not sent.
-// Withdrawing the claim of a request that may have run would let a retry run it a second time.
+// Releases the reservation, and withdraws the claim if the request certainly was not run. Withdrawing the claim of a
+// request that may have run would let a retry run it a second time.
 void RequestFlow::Private::releaseHeld(FlowActions &actions)
 {
     if (this->reservation != HoldState::NotNeeded) {
@@ -99,7 +99,7 @@
     this->stage = Stage::Done;
 }
 
-// This call was not run. Whether the request was is known only where it has no key, or the key was found free.
+// This attempt was not run. Whether an earlier attempt was run is certain only if there is no key, or the key was free.
 void RequestFlow::Private::refuseNotRun(FlowActions &actions, int status, RefusalReason reason, Millis retryAfter)
 {
     const Ran ran = this->facts.needsClaim && !this->isKeyOwned ? Ran::Unknown : Ran::No;
@@ -126,7 +126,7 @@
     actions.emplace_back(Dispatch{this->target, !this->facts.idempotent});
 }
 
-// Only for requests that surely did not run, or may run twice.
+// A request may be resent if it certainly did not run, or if it may run twice.
 bool RequestFlow::Private::canResend(TargetFailure failure) const
 {
     const bool mayRunAgain = isSurelyNotRun(failure) || (this->facts.idempotent && !this->headRelayed);
@@ -149,8 +149,8 @@
     return mayBeThere && this->facts.resumable && this->resumes < this->facts.maxResumes;
 }
 
-// The holder of the key gave its attempt up, so the key is free: this call claims it anew. Without this a duplicate
-// would be refused, though nobody ran the request, each time the first call's router found no place for it.
+// The holder of the key did not run its attempt, so the key is free and this attempt claims it again. Otherwise a
+// duplicate would be refused whenever the router of the first attempt found no place for it, although no attempt ran.
 bool RequestFlow::Private::restartAdmission(FlowActions &actions)
 {
     if (this->claimAttempts >= maxClaimAttempts) {
@@ -194,7 +194,7 @@
     if (this->d->stage != Stage::Admitting || this->d->claim != HoldState::Awaited) {
         return actions;
     }
-    // Only an acquired claim is ours to withdraw later.
+    // Only an acquired claim may be withdrawn later.
     this->d->claim = finding.result == ClaimResult::Acquired ? HoldState::Held : HoldState::NotNeeded;
     switch (finding.result) {
     case ClaimResult::Acquired:
@@ -225,7 +225,7 @@
 {
     FlowActions actions = this->tick(now);
     if (this->d->stage != Stage::Admitting || this->d->reservation != HoldState::Awaited) {
-        // The request ended or attached elsewhere meanwhile; a place granted now must not leak.
+        // The request ended or was attached to another router in the meantime. Release the place, or it would leak.
         if (reply.verdict == ReserveVerdict::Granted && this->d->reservation != HoldState::Held) {
             actions.emplace_back(ReleaseReservation{});
         }
@@ -242,7 +242,7 @@
     const RefusalReason reason
         = reply.verdict == ReserveVerdict::Full ? RefusalReason::PoolFull : RefusalReason::NoTarget;
     if (this->d->possiblyRun) {
-        // A second dispatch of an idempotent request found no place; the first may have run.
+        // A resend of an idempotent request found no place, and the first dispatch may have run.
         this->d->endWithUnknownOutcome(actions, statusBadGateway, reason);
     } else if (this->d->claim == HoldState::Awaited) {
         this->d->refusalAfterClaim = Refuse{statusUnavailable, Ran::No, reason, retryAfter};
@@ -281,7 +281,7 @@
     }
     (void)now;
     this->d->possiblyRun = this->d->mayHaveRunEarlier;
-    // While this router slept, the witnesses may have forgotten the claim and let another attempt run.
+    // While this router was paused, the witnesses may have dropped the claim and allowed another attempt to run.
     this->d->isKeyOwned = false;
     if (this->d->possiblyRun) {
         this->d->endWithUnknownOutcome(actions, statusBadGateway, RefusalReason::RouterPaused);
--- a/sequoiausher/coordination/flow/requestflow.h
+++ b/sequoiausher/coordination/flow/requestflow.h
@@ -1,11 +1,12 @@
 #pragma once
 
-// The life of one request in its entry: claim and reservation side by side, one dispatch, the answer relayed, and an
-// honest ending whatever fails. It decides what may be sent again and what the client may be told about it.
+// The state machine of one request at its entry router: claim and reservation in parallel, dispatch, and relay of the
+// answer. It decides whether a request may be resent, and reports to the client whether it was run, also after
+// failures.
 //
 //     RequestFlow flow(FlowFacts{...});
 //     auto actions = flow.start(now);              // StartClaim, Reserve
-//     actions = flow.claimed(now, finding);        // nothing yet
+//     actions = flow.claimed(now, finding);        // none, until the reservation is granted too
 //     actions = flow.reserved(now, reply);         // Dispatch{target}
 //     actions = flow.headArrived(now);             // RelayHead
 //     actions = flow.answerComplete(now);          // ReleaseReservation, RelayEnd
@@ -18,30 +19,30 @@
 
 namespace Sequoiausher {
 
-/** What the flow must know of its request. */
+/** The properties of a request that its flow depends on. */
 struct FlowFacts
 {
     /**
-     * The request carries an idempotency key, so it is claimed before dispatch. Until the claim is answered nothing
-     * is known of earlier attempts, so an end before that says 'unknown' and not 'not run': the request is the key's,
-     * and a first attempt may be running elsewhere.
+     * Whether the request has an idempotency key that must be claimed before dispatch. All requests with the same key
+     * count as one request, and an earlier attempt may be running elsewhere. So if the request ends before the claim is
+     * answered, the client is told that it is unknown whether the request was run.
      */
     bool needsClaim = false;
-    /** Running it twice does no harm: it may be sent again after it may have run. */
+    /** Whether running the request twice is harmless, so that it may be resent after it may have run. */
     bool idempotent = false;
-    /** The target is an engine, whose streams can be resumed. */
+    /** Whether the target is an engine, whose streams can be resumed. */
     bool resumable = false;
-    /** When the client gives up. */
+    /** The time at which the client gives up. */
     Millis deadline = Millis::never();
-    /** How many targets are tried while it is certain that none has run the request. */
+    /** The maximum number of targets that the request is sent to. */
     int maxDispatches = 3;
-    /** How often a broken stream is resumed. */
+    /** The maximum number of times that a broken stream is resumed. */
     int maxResumes = 2;
-    /** What a client is told to wait where nothing better is known. */
+    /** The retry delay for clients if no other is known. */
     Millis retryAfter{1000};
 };
 
-/** One request's state machine. Not thread-safe: it lives on the worker that has the client's connection. */
+/** The flow of one request. Not thread-safe: use it only on the worker that has the client's connection. */
 class RequestFlow
 {
 public:
@@ -50,56 +51,57 @@
     RequestFlow(const RequestFlow &) = delete;
     RequestFlow &operator=(const RequestFlow &) = delete;
 
-    /** Begins; call once. */
+    /** Starts the flow. Must be called exactly once. */
     FlowActions start(Millis now);
 
-    /** The claim came to an end. A finding that arrives when no claim is awaited is ignored. */
+    /** The claim was answered. The finding is ignored if no claim is awaited. */
     FlowActions claimed(Millis now, const ClaimFinding &finding);
 
-    /** The reservation was answered. An answer that arrives when none is awaited gives the place back. */
+    /** The reservation was answered. A place that is granted when none is awaited is released. */
     FlowActions reserved(Millis now, const ReserveReply &reply);
 
-    /** The queue let the request go on after Requeue. */
+    /** The queue dispatched the request after Requeue. */
     FlowActions requeued(Millis now);
 
-    /** The queue gave the request up after Requeue; nothing was sent. */
+    /** The queue refused the request after Requeue; nothing was sent. */
     FlowActions shed(Millis now, Millis retryAfter);
 
-    /** The claim's time for dispatch had passed when Dispatch was carried out; nothing was sent. */
+    /** The claim's time for dispatch had passed when Dispatch was executed; nothing was sent. */
     FlowActions dispatchTooLate(Millis now);
 
-    /** The target's or holder's answer began, and is this request's own. */
+    /** The answer of the target or holder began, and belongs to this request. */
     FlowActions headArrived(Millis now);
 
-    /** The whole answer was relayed. */
+    /** The complete answer was relayed. */
     FlowActions answerComplete(Millis now);
 
-    /** Whether targetFailed() would send the request to another target, so that its budget must be asked first. */
+    /** Whether targetFailed() would resend the request, so that the caller must check the retry budget first. */
     bool wouldResend(TargetFailure failure) const;
 
     /**
      * The call to the target failed.
-     * @param budgetAllows whether the pool's budget has a resend left. Without one the request ends at once, and says
-     *        of itself what is known.
+     * @param budgetAllows whether the pool's retry budget has a resend left. Without one, a request that would be
+     * resent ends, and the client is told whether it was run.
      */
     FlowActions targetFailed(Millis now, TargetFailure failure, bool budgetAllows = true);
 
-    /** The holder does not give the answer: it never ran there (retry), or nobody knows. */
+    /** The holder gave no answer. With Ran::No it did not run the request, so the key is claimed again, up to a limit.
+     */
     FlowActions attachFailed(Millis now, Ran ran);
 
-    /** The client closed its connection. A claimed request goes on, for the client's retry to find its answer. */
+    /** The client closed its connection. A claimed request that was sent continues, so a retry can get its answer. */
     FlowActions clientGone(Millis now);
 
-    /** Ends the request where its deadline has passed. */
+    /** Ends the request if its deadline has passed. */
     FlowActions tick(Millis now);
 
-    /** When tick must be called at the latest. */
+    /** Returns the latest time at which tick() must be called. */
     Millis nextDeadline() const;
 
-    /** Nothing is left to do. */
+    /** Whether the request has ended. */
     bool isDone() const;
 
-    /** The request was sent to a target and may have run. */
+    /** Whether the request was sent to a target and may have run. */
     bool mayHaveRun() const;
 
 private:
--- a/sequoiausher/coordination/flow/requestflowtest.cpp
+++ b/sequoiausher/coordination/flow/requestflowtest.cpp
@@ -42,7 +42,7 @@
     return facts;
 }
 
-/** A flow brought to the point where its request was sent to firstTarget. */
+/** Returns a flow whose request was sent to firstTarget. */
 std::unique_ptr<RequestFlow> dispatched(const FlowFacts &facts)
 {
     auto flow = std::make_unique<RequestFlow>(facts);
@@ -57,7 +57,7 @@
 
 } // namespace
 
-TEST_CASE("a request without a key is reserved, sent, relayed and released")
+TEST_CASE("a request without a key is reserved and sent, and its answer is relayed")
 {
     FlowFacts facts;
     RequestFlow flow(facts);
@@ -72,7 +72,7 @@
     CHECK(flow.isDone());
 }
 
-TEST_CASE("claim and reservation run side by side, and only both together dispatch")
+TEST_CASE("claim and reservation run in parallel, and the request is dispatched only after both")
 {
     for (const bool claimFirst : {true, false}) {
         CAPTURE(claimFirst);
@@ -88,10 +88,10 @@
     }
 }
 
-TEST_CASE("a failed target call ends as honestly as what is known allows")
+TEST_CASE("a failed target call is resent, resumed or ended depending on whether it may have run")
 {
-    // Symptom: a plate stamped twice, or a clerk told "not run" of a job that ran.
-    // Sequence: a call to a target fails at some point of its life. Cause: what failed decides what may be said.
+    // Guards against running a request twice, and against reporting 'not run' for a request that ran: both depend on
+    // how the call to the target failed.
     struct Case
     {
         const char *name;
@@ -141,7 +141,7 @@
     }
 }
 
-TEST_CASE("when no target takes the request it was not run, and its claim is free again")
+TEST_CASE("if no target accepts the request, it is reported as not run and its claim is withdrawn")
 {
     const auto flow = dispatched(claimedFacts());
     FlowActions actions = flow->targetFailed(start, TargetFailure::NeverSent);
@@ -156,10 +156,10 @@
     CHECK(has<WithdrawClaim>(actions));
 }
 
-TEST_CASE("an idempotent request that may have run once is never called not run")
+TEST_CASE("an idempotent request that may have run once is never reported as not run")
 {
-    // Symptom: 'not run' for a request that ran. Sequence: the first target falls silent after the request was
-    // written, the second refuses the connection. Cause: only the last failure was looked at.
+    // Guards against reporting 'not run' by the last failure only: the first target is silent after the request was
+    // written, and the second refuses the connection.
     FlowFacts facts = claimedFacts();
     facts.idempotent = true;
     const auto flow = dispatched(facts);
@@ -172,7 +172,7 @@
     CHECK(!has<WithdrawClaim>(actions));
 }
 
-TEST_CASE("a retry of a running request gives its place back and attaches")
+TEST_CASE("a retry of a running request releases its place and attaches to the holder")
 {
     RequestFlow flow(claimedFacts());
     flow.start(start);
@@ -187,10 +187,10 @@
     CHECK(has<RelayEnd>(flow.answerComplete(start)));
 }
 
-TEST_CASE("a retry that finds the pool full is not called not run before its key was asked for")
+TEST_CASE("a retry that finds the pool full is not reported as not run before its claim is answered")
 {
-    // Symptom: 'not run' for a plate that a first attempt is stamping. Sequence: the retry's reservation is refused
-    // before its claim is answered. Cause: the refusal was taken for the fate of the request, which is the key's.
+    // Guards against reporting 'not run' while a first attempt with the same key is running: the retry's reservation is
+    // refused before its claim is answered, and a refused reservation says nothing of other attempts.
     const ReserveReply full{{}, ReserveVerdict::Full, {}, Millis{200}};
     const ClaimFinding held{ClaimResult::HeldByOther, InstanceId{"r3"}, RequestId{1, 2}, {}};
     RequestFlow retry(claimedFacts());
@@ -208,11 +208,11 @@
     CHECK(has<WithdrawClaim>(refused));
 }
 
-TEST_CASE("a retry whose holder turns out not to have run claims the key anew")
+TEST_CASE("a retry whose holder turns out not to have run claims the key again")
 {
-    // Symptom: a retry is refused though nobody ran the request, and two retries that take each other for the holder
-    // wait for each other. Sequence: the first attempt claims, finds no place and withdraws; the retry was told of it
-    // meanwhile. Cause: the holder's 'not run' ended the retry.
+    // Guards against refusing a retry although no attempt ran, and against two retries that each wait for the other as
+    // the holder: the first attempt claims the key, finds no place and withdraws, while the retry already attaches to
+    // it. The holder's 'not run' must not end the retry.
     const ClaimFinding held{ClaimResult::HeldByOther, InstanceId{"r3"}, RequestId{1, 2}, {}};
     RequestFlow retry(claimedFacts());
     retry.start(start);
@@ -252,10 +252,10 @@
     CHECK(find<Refuse>(refused)->ran == Ran::No);
 }
 
-TEST_CASE("a place granted after the request ended is given back")
+TEST_CASE("a place granted after the request ended is released")
 {
-    // Symptom: a target's count stays up for good. Sequence: the claim finds no quorum while the reservation is on
-    // its way; the grant arrives afterwards. Cause: the late grant had no one to release it.
+    // Guards against a target's count that stays too high: the claim finds no quorum while the reservation is pending,
+    // and the place that is granted afterwards must be released.
     RequestFlow flow(claimedFacts());
     flow.start(start);
     flow.claimed(start, ClaimFinding{ClaimResult::NoQuorum, {}, {}, Millis{300}});
@@ -263,10 +263,10 @@
     CHECK(has<ReleaseReservation>(flow.reserved(start, granted(firstTarget))));
 }
 
-TEST_CASE("a router that slept between claim and dispatch sends nothing")
+TEST_CASE("a router that was paused between claim and dispatch sends nothing")
 {
-    // Symptom: a plate stamped twice. Sequence: the router claims, sleeps past the claim's life, wakes and sends,
-    // while a retry was claimed and run elsewhere. Cause: acting on what was believed before the pause.
+    // Guards against running a request twice: the router claims the key and is paused until the claim has expired, and
+    // a retry is claimed and run elsewhere. The router must not act on its claim from before the pause.
     const auto flow = dispatched(claimedFacts());
     const FlowActions actions = flow->dispatchTooLate(start + Millis{4000});
     REQUIRE(has<Refuse>(actions));
@@ -275,7 +275,7 @@
     CHECK(has<WithdrawClaim>(actions));
 }
 
-TEST_CASE("the deadline ends a request at once, with what is known")
+TEST_CASE("the deadline ends a request immediately, and the client is told whether it was run")
 {
     RequestFlow waiting(claimedFacts());
     waiting.start(start);
@@ -299,7 +299,7 @@
     CHECK(!has<WithdrawClaim>(unknown));
 }
 
-TEST_CASE("a client that goes away cancels its work, unless its retry may come for the answer")
+TEST_CASE("a client that disconnects cancels its request, unless a retry may get the answer")
 {
     FlowFacts plain;
     const auto unclaimed = dispatched(plain);
@@ -313,9 +313,9 @@
     CHECK(has<RelayEnd>(claimed->answerComplete(start)));
 }
 
-// Symptom: a pool in trouble is given a multiple of its load. Sequence: calls fail, each is sent to the next target.
-// Cause: nothing bounded the resends. Without a token the request ends at once, and says what is known of it.
-TEST_CASE("without a resend in the budget the request ends at once and honestly")
+// Guards against overloading a failing pool: without a bound, each failed call is resent to the next target, which
+// multiplies the load. Without a token in the budget the request ends, and the client is told whether it was run.
+TEST_CASE("without a resend in the budget the request ends immediately, and the client is told whether it was run")
 {
     struct Row
     {
