--- a/sequoiausher/coordination/limits/admissionqueuetest.cpp
+++ b/sequoiausher/coordination/limits/admissionqueuetest.cpp
@@ -31,15 +31,15 @@
     QueueEntry next(Millis now)
     {
         std::vector<QueueAction> dispatched;
-        this->queue.finish(now, this->flying, dispatched);
+        this->queue.finish(now, this->inFlightId, dispatched);
         REQUIRE(dispatched.size() == 1);
-        this->flying = dispatched.front().entry.request;
+        this->inFlightId = dispatched.front().entry.request;
         return dispatched.front().entry;
     }
 
     AdmissionQueue queue;
     std::vector<QueueAction> actions;
-    RequestId flying{0, 1000};
+    RequestId inFlightId{0, 1000};
 };
 
 } // namespace
@@ -173,7 +173,7 @@
     Busy busy;
     const QueueEntry entry = entryOf(1, "a", RequestClass::Urgent, Millis{30});
     REQUIRE(busy.queue.offer(Millis{1}, entry, busy.actions).verdict == QueueVerdict::Queue);
-    busy.queue.finish(Millis{31}, busy.flying, busy.actions);
+    busy.queue.finish(Millis{31}, busy.inFlightId, busy.actions);
     REQUIRE(busy.actions.size() == 1);
     CHECK(busy.actions.front().decision.reason == RefuseReason::Deadline);
     CHECK(busy.queue.inFlight() == 0);
@@ -258,7 +258,7 @@
     CHECK(rc::check([] {
         AdmissionQueue queue({3, 12, Millis{50}, Millis{1000}, Millis{30000}});
         std::vector<QueueAction> actions;
-        std::set<RequestId> flying;
+        std::set<RequestId> inFlightIds;
         std::map<RequestId, QueueEntry> waiting;
         std::map<std::pair<std::string, RequestClass>, std::uint64_t> lastDispatched;
         std::uint64_t id = 0;
@@ -273,13 +273,13 @@
                 const QueueEntry entry = entryOf(++id, name, requestClass, by);
                 const QueueDecision decision = queue.offer(now, entry, actions);
                 if (decision.verdict == QueueVerdict::Dispatch) {
-                    flying.insert(entry.request);
+                    inFlightIds.insert(entry.request);
                 } else if (decision.verdict == QueueVerdict::Queue) {
                     waiting.emplace(entry.request, entry);
                 }
-            } else if (what < 8 && !flying.empty()) {
-                const RequestId done = *flying.begin();
-                flying.erase(done);
+            } else if (what < 8 && !inFlightIds.empty()) {
+                const RequestId done = *inFlightIds.begin();
+                inFlightIds.erase(done);
                 queue.finish(now, done, actions);
             } else if (what == 8 && !waiting.empty()) {
                 queue.cancel(waiting.begin()->first);
@@ -290,7 +290,7 @@
             for (const QueueAction &action : actions) {
                 RC_ASSERT(waiting.erase(action.entry.request) == 1U);
                 if (action.decision.verdict == QueueVerdict::Dispatch) {
-                    flying.insert(action.entry.request);
+                    inFlightIds.insert(action.entry.request);
                     auto &last = lastDispatched[{action.entry.organisation.value, action.entry.requestClass}];
                     RC_ASSERT(action.entry.request.low > last);
                     last = action.entry.request.low;
@@ -301,9 +301,9 @@
             actions.clear();
             RC_ASSERT(queue.waiting() == waiting.size());
             RC_ASSERT(queue.waiting() <= 12U);
-            RC_ASSERT(queue.inFlight() == flying.size());
-            RC_ASSERT(flying.size() <= 3U);
-            RC_ASSERT(waiting.empty() || flying.size() == 3U);
+            RC_ASSERT(queue.inFlight() == inFlightIds.size());
+            RC_ASSERT(inFlightIds.size() <= 3U);
+            RC_ASSERT(waiting.empty() || inFlightIds.size() == 3U);
         }
     }));
 }
--- a/sequoiausher/coordination/limits/ratelimit.cpp
+++ b/sequoiausher/coordination/limits/ratelimit.cpp
@@ -78,7 +78,7 @@
 struct Organisation
 {
     OrganisationLimits limits;
-    Bucket whole;
+    Bucket total;
     std::array<Bucket, requestClassCount> classes;
     Demand own;
     /** The reported demands, oldest first. */
@@ -142,7 +142,7 @@
     {
         const OrganisationLimits &limits = organisation.limits;
         const double share = limits.perSecond * shareFraction;
-        organisation.whole.fill(now, share, burstOf(share, limits.burstSeconds));
+        organisation.total.fill(now, share, burstOf(share, limits.burstSeconds));
         for (std::size_t index = 0; index < requestClassCount; ++index) {
             const double classShare = limits.perClass[index] * shareFraction;
             organisation.classes[index].fill(now, classShare, burstOf(classShare, limits.burstSeconds));
@@ -214,14 +214,14 @@
     const bool classLimited = known.limits.perClass[own] > 0;
     const std::optional<std::size_t> payer = classLimited ? Private::findPayer(known, own, cost) : std::nullopt;
     const bool classAllows = !classLimited || payer.has_value();
-    if (known.whole.tokens >= cost && classAllows) {
-        known.whole.tokens -= cost;
+    if (known.total.tokens >= cost && classAllows) {
+        known.total.tokens -= cost;
         if (payer) {
             known.classes[*payer].tokens -= cost;
         }
         return {};
     }
-    Millis retryAfter = known.whole.timeUntil(cost, known.limits.perSecond * shareFraction);
+    Millis retryAfter = known.total.timeUntil(cost, known.limits.perSecond * shareFraction);
     if (!classAllows) {
         retryAfter
             = std::max(retryAfter, known.classes[own].timeUntil(cost, known.limits.perClass[own] * shareFraction));
