--- a/sequoiausher/coordination/limits/admissionqueuetest.cpp
+++ b/sequoiausher/coordination/limits/admissionqueuetest.cpp
@@ -58,19 +58,28 @@
     constexpr auto normal = RequestClass::Interactive;
     constexpr auto low = RequestClass::Background;
     const std::vector<Row> rows{
-        {"background goes for urgent", {{"a", urgent}, {"b", normal}, {"c", low}, {"d", urgent}}, {"e", urgent}, 2},
-        {"interactive goes for urgent", {{"a", urgent}, {"b", normal}, {"c", urgent}, {"d", urgent}}, {"e", urgent}, 1},
-        {"background goes for interactive", {{"a", low}, {"a", low}, {"b", low}, {"c", normal}}, {"b", normal}, 1},
-        {"arriving background goes", {{"a", urgent}, {"a", urgent}, {"a", urgent}, {"a", normal}}, {"b", low}, -1},
-        {"the surging one loses its newest",
+        {"background is shed for urgent", {{"a", urgent}, {"b", normal}, {"c", low}, {"d", urgent}}, {"e", urgent}, 2},
+        {"interactive is shed for urgent",
+         {{"a", urgent}, {"b", normal}, {"c", urgent}, {"d", urgent}},
+         {"e", urgent},
+         1},
+        {"background is shed for interactive", {{"a", low}, {"a", low}, {"b", low}, {"c", normal}}, {"b", normal}, 1},
+        {"arriving background is refused",
+         {{"a", urgent}, {"a", urgent}, {"a", urgent}, {"a", normal}},
+         {"b", low},
+         -1},
+        {"a surging organisation loses its newest",
          {{"a", normal}, {"a", normal}, {"a", normal}, {"b", normal}},
          {"c", normal},
          2},
-        {"the surging one's own is refused",
+        {"a surging organisation's arriving request is refused",
          {{"a", normal}, {"a", normal}, {"a", normal}, {"b", normal}},
          {"a", normal},
          -1},
-        {"urgent goes for nobody else", {{"a", urgent}, {"a", urgent}, {"b", urgent}, {"c", urgent}}, {"d", urgent}, 1},
+        {"urgent is shed only for urgent of an organisation with less",
+         {{"a", urgent}, {"a", urgent}, {"b", urgent}, {"c", urgent}},
+         {"d", urgent},
+         1},
     };
     for (const Row &row : rows) {
         CAPTURE(row.what);
