--- a/lab/bench/balancefleet.cpp
+++ b/lab/bench/balancefleet.cpp
@@ -256,7 +256,7 @@
     router.owned.update(this->now, router.map);
     // A router that takes over a shard asks the shard's engines at once.
     this->reportTo(router);
-    router.reserver.listsChanged(this->now, outbox);
+    router.reserver.handleMapChange(this->now, outbox);
     this->collect(router);
     this->carry(router, outbox);
 }
@@ -284,11 +284,11 @@
     router.map.setInstances(live);
     router.owned.update(this->now, router.map);
     if (!dead.empty()) {
-        router.owned.instanceGone(dead);
+        router.owned.dropInstance(dead);
     }
     // A router that takes over a shard asks the shard's engines at once.
     this->reportTo(router);
-    router.reserver.listsChanged(this->now, outbox);
+    router.reserver.handleMapChange(this->now, outbox);
     this->collect(router);
     this->carry(router, outbox);
 }
@@ -366,8 +366,8 @@
         return;
     }
     Outbox outbox;
-    router.owned.instanceSuspected(this->now, killed);
-    router.reserver.peerUnreachable(this->now, killed, outbox);
+    router.owned.suspectInstance(this->now, killed);
+    router.reserver.markPeerUnreachable(this->now, killed, outbox);
     this->collect(router);
     this->carry(router, outbox);
 }
@@ -487,7 +487,7 @@
     if (this->chooser == Chooser::Admission) {
         Outbox outbox;
         const std::uint64_t chat = hash64(std::to_string(turn.chat));
-        Wanted wanted{request, pool, chat, this->settings.policy, this->settings.boundPercent, {}};
+        PlacementRequest wanted{request, pool, chat, this->settings.policy, this->settings.boundPercent, {}};
         wanted.prefixHash = turn.sharedPrefix == 0 ? 0 : hash64(std::to_string(turn.sharedPrefix));
         router.reserver.reserve(this->now, wanted, outbox);
         this->collect(router);
@@ -567,10 +567,10 @@
     std::vector<ShardSum> sums;
     for (SimulatedRouter *router : this->alive) {
         this->reportTo(*router);
-        for (const TargetView &target : router->reserver.wantsLoads(this->now)) {
+        for (const TargetView &target : router->reserver.targetsNeedingLoad(this->now)) {
             const TargetId &name = target.description.target;
             const std::uint32_t load = this->engineOf.at(name)->model.reported(this->now, reportLag);
-            router->reserver.noteLoad(name, ReportedLoad{1, load, measuredAt});
+            router->reserver.recordLoad(name, ReportedLoad{1, load, measuredAt});
         }
         const std::vector<ShardSum> own = router->owned.sums(this->now);
         sums.insert(sums.end(), own.begin(), own.end());
@@ -578,9 +578,9 @@
     for (SimulatedRouter *router : this->alive) {
         this->at(this->now + reportEvery, [router, sums] {
             for (const ShardSum &sum : sums) {
-                router->map.noteSum(sum);
+                router->map.recordSum(sum);
             }
-            router->owned.noteSums(router->map);
+            router->owned.refreshPoolLoads(router->map);
         });
     }
 }
--- a/lab/bench/slopes/admissionslopes.cpp
+++ b/lab/bench/slopes/admissionslopes.cpp
@@ -118,7 +118,7 @@
         const double before = heapBytes();
         RecentChats recent(chats);
         for (std::uint64_t i = 0; i < chats; ++i) {
-            recent.placed(hash64(std::to_string(i)), targetView(i % 16).description.target);
+            recent.recordPlacement(hash64(std::to_string(i)), targetView(i % 16).description.target);
         }
         perChat.push_back({static_cast<double>(chats), heapBytes() - before});
     }
@@ -215,7 +215,7 @@
         for (std::uint64_t i = 0; i < held; ++i) {
             reserver.reserve(
                 Millis{0},
-                Wanted{
+                PlacementRequest{
                     RequestId{2, i}, pool, hash64(std::to_string(i)), PolicyKind::BoundedRendezvous, boundPercent, {}},
                 outbox);
         }
@@ -262,9 +262,9 @@
             const Millis now{2 + i};
             membership.setSums(now, owned.sums(now));
             for (const ShardSum &sum : membership.sums(now)) {
-                map.noteSum(sum);
+                map.recordSum(sum);
             }
-            owned.noteSums(map);
+            owned.refreshPoolLoads(map);
             membership.sums(now);
         }
         time.push_back({static_cast<double>(map.shards().size()), (processorMicros() - before) / times});
@@ -321,7 +321,7 @@
     Reserver reserver(router(0), 1, ReserverSettings{}, 1, map);
     Outbox outbox;
     for (std::uint64_t i = 0; i < held; ++i) {
-        const Wanted wanted{
+        const PlacementRequest wanted{
             RequestId{2, i}, pool, hash64(std::to_string(i)), PolicyKind::BoundedRendezvous, boundPercent, {}};
         reserver.reserve(Millis{0}, wanted, outbox);
     }
--- a/lab/bench/surgefleet.cpp
+++ b/lab/bench/surgefleet.cpp
@@ -141,7 +141,7 @@
         router->map.setPool(this->view());
         router->owned.update(this->now, router->map);
         Outbox outbox;
-        router->reserver.listsChanged(this->now, outbox);
+        router->reserver.handleMapChange(this->now, outbox);
         this->carry(*router, outbox);
     }
 }
@@ -202,7 +202,8 @@
 
 void FleetRun::reserve(SimulatedRouter &router, const QueueEntry &entry)
 {
-    Wanted wanted{entry.request, pool, hash64(std::to_string(entry.request.low)), PolicyKind::BoundedRendezvous};
+    PlacementRequest wanted{
+        entry.request, pool, hash64(std::to_string(entry.request.low)), PolicyKind::BoundedRendezvous};
     wanted.boundPercent = boundPercent;
     wanted.requestClass = entry.requestClass;
     wanted.organisation = this->settings.tellsOrganisations ? organisationHash(entry.organisation.value) : 0;
--- a/lab/bench/surgefleet.h
+++ b/lab/bench/surgefleet.h
@@ -44,7 +44,7 @@
     Millis shortestFirstToken{40};
     Millis longestFirstToken{90};
     /** As the node sets it by default. */
-    OwnerSettings owner{.waitingLife = Millis{100}};
+    OwnerSettings owner{.maxWaitTime = Millis{100}};
     /** Whether reservations tell whose they are. */
     bool tellsOrganisations = true;
     /** The queue of each router. */
--- a/sequoiausher/coordination/admission/admissionpropertytest.cpp
+++ b/sequoiausher/coordination/admission/admissionpropertytest.cpp
@@ -52,7 +52,7 @@
     std::map<RequestId, TargetId> running;
 };
 
-struct Flying
+struct InFlightMessage
 {
     InstanceId from;
     Outgoing out;
@@ -71,7 +71,7 @@
         ReserverSettings settings;
         settings.sendsDigests = variant.sendsDigests;
         OwnerSettings ownerSettings;
-        ownerSettings.waitingLife = this->waits ? Millis{100} : Millis{0};
+        ownerSettings.maxWaitTime = this->waits ? Millis{100} : Millis{0};
         auto made = std::make_shared<PoolView>();
         made->pool = pool;
         for (int i = 0; i < targetCount; ++i) {
@@ -100,10 +100,10 @@
         return this->live[this->draw(this->live.size())];
     }
 
-    void carry(const InstanceId &from, Outbox &outbox)
+    void send(const InstanceId &from, Outbox &outbox)
     {
         for (Outgoing &out : outbox) {
-            this->flying.push_back(Flying{from, std::move(out)});
+            this->messagesInFlight.push_back(InFlightMessage{from, std::move(out)});
         }
     }
 
@@ -115,11 +115,11 @@
         router.map.setPool(this->view);
         router.owned.update(this->now, router.map);
         for (const InstanceId &lost : this->dead) {
-            router.owned.instanceGone(lost);
+            router.owned.dropInstance(lost);
         }
-        router.reserver.listsChanged(this->now, outbox);
+        router.reserver.handleMapChange(this->now, outbox);
         this->collect(name);
-        this->carry(name, outbox);
+        this->send(name, outbox);
         this->agreed[name] = this->live.size();
     }
 
@@ -137,13 +137,13 @@
     {
         const InstanceId name = this->anyRouter();
         Outbox outbox;
-        Wanted wanted{RequestId{1, ++this->lastRequest}, pool, this->random(), this->policy, percent, {}};
+        PlacementRequest wanted{RequestId{1, ++this->lastRequest}, pool, this->random(), this->policy, percent, {}};
         wanted.prefixHash = wanted.chatHash % prefixCount;
         wanted.requestClass = static_cast<RequestClass>(this->lastRequest % requestClassCount);
         wanted.organisation = static_cast<std::uint16_t>(1 + this->lastRequest % 5 / 2);
         this->routers.at(name)->reserver.reserve(this->now, wanted, outbox);
         this->collect(name);
-        this->carry(name, outbox);
+        this->send(name, outbox);
     }
 
     void release()
@@ -169,17 +169,17 @@
         router.running.erase(request);
         for (const auto &entry : this->routers) {
             if (entry.second.get() == &router) {
-                this->carry(entry.first, outbox);
+                this->send(entry.first, outbox);
             }
         }
     }
 
     void deliver(std::size_t index, bool keepCopy)
     {
-        const Flying message = this->flying[index];
+        const InFlightMessage message = this->messagesInFlight[index];
         this->digests += std::holds_alternative<HoldingsDigest>(message.out.message) ? 1 : 0;
         if (!keepCopy) {
-            this->flying.erase(this->flying.begin() + static_cast<std::ptrdiff_t>(index));
+            this->messagesInFlight.erase(this->messagesInFlight.begin() + static_cast<std::ptrdiff_t>(index));
         }
         const auto receiver = this->routers.find(message.out.to);
         if (receiver == this->routers.end()) {
@@ -202,7 +202,7 @@
             this->collect(receiver->first);
         }
         this->serveWaiting(router, outbox);
-        this->carry(receiver->first, outbox);
+        this->send(receiver->first, outbox);
     }
 
     /** As a router does after each message and tick; checks the bound at each admission of a settled owner. */
@@ -212,7 +212,7 @@
         const std::uint32_t before = shard == nullptr ? 0 : shard->sum(this->now).inFlight;
         Outbox served;
         router.owned.serveWaiting(this->now, served);
-        if (shard != nullptr && shard->settled(this->now)) {
+        if (shard != nullptr && shard->isSettled(this->now)) {
             this->admissionsOfWaiting += this->checkGrants(*shard, before, served);
         }
         outbox.insert(outbox.end(), served.begin(), served.end());
@@ -229,7 +229,7 @@
         const std::uint32_t before = shard == nullptr ? 0 : shard->sum(this->now).inFlight;
         const std::size_t heldBefore = shard == nullptr ? 0 : shard->holdings();
         router.owned.receive(this->now, from, request, outbox);
-        if (shard == nullptr || !shard->settled(this->now) || shard->holdings() == heldBefore) {
+        if (shard == nullptr || !shard->isSettled(this->now) || shard->holdings() == heldBefore) {
             return;
         }
         const TargetId &target = std::get<ReserveReply>(outbox.back().message).target;
@@ -279,8 +279,8 @@
 
     void deliverAll()
     {
-        while (!this->flying.empty()) {
-            this->deliver(this->draw(this->flying.size()), false);
+        while (!this->messagesInFlight.empty()) {
+            this->deliver(this->draw(this->messagesInFlight.size()), false);
         }
     }
 
@@ -294,7 +294,7 @@
             router.owned.tick(this->now);
             this->serveWaiting(router, outbox);
             this->collect(name);
-            this->carry(name, outbox);
+            this->send(name, outbox);
         }
     }
 
@@ -303,7 +303,7 @@
     {
         this->deliverAll();
         // Before any report could mend it: each message alone leaves the counts right.
-        if (!this->lossy && this->listsAgree() && this->owner().settled(this->now)) {
+        if (!this->lossy && this->listsAgree() && this->owner().isSettled(this->now)) {
             this->compareWithTruth();
         }
         this->advance(Millis{1000});
@@ -319,14 +319,15 @@
             this->routers.erase(name);
             // What it sent is lost with its connections; with loss, some of it still arrives.
             if (!this->lossy) {
-                std::erase_if(this->flying, [&name](const Flying &message) { return message.from == name; });
+                std::erase_if(this->messagesInFlight,
+                              [&name](const InFlightMessage &message) { return message.from == name; });
             }
         }
     }
 
     void step(int kind)
     {
-        const std::size_t count = this->flying.size();
+        const std::size_t count = this->messagesInFlight.size();
         if (kind < 30) {
             this->reserve();
         } else if (kind < 45) {
@@ -343,7 +344,8 @@
             }
         } else if (kind < 90) {
             if (this->lossy && count > 0) {
-                this->flying.erase(this->flying.begin() + static_cast<std::ptrdiff_t>(this->draw(count)));
+                this->messagesInFlight.erase(this->messagesInFlight.begin()
+                                             + static_cast<std::ptrdiff_t>(this->draw(count)));
             }
         } else if (kind < 94) {
             this->settle();
@@ -391,7 +393,7 @@
     std::vector<InstanceId> dead;
     std::map<InstanceId, std::unique_ptr<Router>> routers;
     std::map<InstanceId, std::size_t> agreed;
-    std::vector<Flying> flying;
+    std::vector<InFlightMessage> messagesInFlight;
     Millis now{1};
     std::uint64_t lastRequest = 0;
     std::uint64_t admissions = 0;
--- a/sequoiausher/coordination/admission/holdingsexchangetest.cpp
+++ b/sequoiausher/coordination/admission/holdingsexchangetest.cpp
@@ -33,7 +33,7 @@
         this->map.setPool(view);
         this->map.setInstances({self, InstanceId{"r1"}, InstanceId{"r2"}});
         this->restartOwner();
-        this->entry.listsChanged(this->now, this->toOwner);
+        this->entry.handleMapChange(this->now, this->toOwner);
         this->exchange();
     }
 
@@ -143,7 +143,7 @@
 {
     this->reserve(1);
     CHECK(this->round() == "d");
-    this->entry.peerUnreachable(this->now, this->owner(), this->toOwner);
+    this->entry.markPeerUnreachable(this->now, this->owner(), this->toOwner);
     this->now += Millis{5000};
     this->entry.tick(this->now, this->toOwner);
     REQUIRE(this->toOwner.size() == 1);
--- a/sequoiausher/coordination/admission/localplacement.cpp
+++ b/sequoiausher/coordination/admission/localplacement.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-void countDown(TargetCounts &counts, const TargetId &target)
+void decrementCount(TargetCounts &counts, const TargetId &target)
 {
     const auto entry = counts.find(target);
     entry->second -= 1;
@@ -32,17 +32,17 @@
 public:
     const ReportedLoad *freshLoad(Millis now, const TargetView &target) const;
     PoolLoad loadOf(Millis now, const std::vector<TargetView> &live, const TargetCounts &own) const;
-    std::uint64_t placesOn(const TargetView &target,
-                           const TargetLoad &seen,
-                           const PoolLoad &load,
-                           std::uint32_t boundPercent,
-                           const std::vector<InstanceId> &routers) const;
+    std::uint64_t freePlacesOn(const TargetView &target,
+                               const TargetLoad &seen,
+                               const PoolLoad &load,
+                               std::uint32_t boundPercent,
+                               const std::vector<InstanceId> &routers) const;
 
     InstanceId self;
-    Millis loadLife;
+    Millis reportedLoadTtl;
     std::uint64_t seed = 0;
     std::unordered_map<TargetId, ReportedLoad> loads;
-    TargetCounts local;
+    TargetCounts localCounts;
     std::map<PolicyKind, std::unique_ptr<Policy>> policies;
 };
 
@@ -52,7 +52,7 @@
     if (entry == this->loads.end() || entry->second.incarnation != target.description.life.incarnation) {
         return nullptr;
     }
-    return now <= entry->second.measuredAt + this->loadLife ? &entry->second : nullptr;
+    return now <= entry->second.measuredAt + this->reportedLoadTtl ? &entry->second : nullptr;
 }
 
 PoolLoad LocalPlacement::Private::loadOf(Millis now, const std::vector<TargetView> &live, const TargetCounts &own) const
@@ -70,30 +70,31 @@
     return load;
 }
 
-std::uint64_t LocalPlacement::Private::placesOn(const TargetView &target,
-                                                const TargetLoad &seen,
-                                                const PoolLoad &load,
-                                                std::uint32_t boundPercent,
-                                                const std::vector<InstanceId> &routers) const
+std::uint64_t LocalPlacement::Private::freePlacesOn(const TargetView &target,
+                                                    const TargetLoad &seen,
+                                                    const PoolLoad &load,
+                                                    std::uint32_t boundPercent,
+                                                    const std::vector<InstanceId> &routers) const
 {
-    const LocalKnowledge known{boundPercent, load.total, load.counted, seen.inFlight, target.description.capacity};
+    const HeadroomInput known{boundPercent, load.total, load.counted, seen.inFlight, target.description.capacity};
     const std::size_t rank = routerRank(routers, this->self, target.hash);
     const std::uint64_t share = localShare(localHeadroom(known), rank, routers.size());
     // Placed ones count in full although the report may show some of them already: it lags, and which is not known.
-    const std::uint64_t used = countOf(this->local, seen.target);
+    const std::uint64_t used = countOf(this->localCounts, seen.target);
     return share > used ? share - used : 0;
 }
 
-LocalPlacement::LocalPlacement(InstanceId self, Millis loadLife, std::uint64_t seed) : d(std::make_unique<Private>())
+LocalPlacement::LocalPlacement(InstanceId self, Millis reportedLoadTtl, std::uint64_t seed)
+    : d(std::make_unique<Private>())
 {
     this->d->self = std::move(self);
-    this->d->loadLife = loadLife;
+    this->d->reportedLoadTtl = reportedLoadTtl;
     this->d->seed = seed;
 }
 
 LocalPlacement::~LocalPlacement() = default;
 
-void LocalPlacement::noteLoad(const TargetId &target, const ReportedLoad &load)
+void LocalPlacement::recordLoad(const TargetId &target, const ReportedLoad &load)
 {
     const auto [entry, fresh] = this->d->loads.try_emplace(target, load);
     if (!fresh && (load.measuredAt > entry->second.measuredAt || load.incarnation > entry->second.incarnation)) {
@@ -101,18 +102,18 @@
     }
 }
 
-void LocalPlacement::placed(const TargetId &target)
+void LocalPlacement::recordPlacement(const TargetId &target)
 {
-    this->d->local[target] += 1;
+    this->d->localCounts[target] += 1;
 }
 
-void LocalPlacement::removed(const TargetId &target)
+void LocalPlacement::recordRemoval(const TargetId &target)
 {
-    countDown(this->d->local, target);
+    decrementCount(this->d->localCounts, target);
 }
 
 std::optional<TargetId> LocalPlacement::choose(Millis now,
-                                               const Wanted &wanted,
+                                               const PlacementRequest &wanted,
                                                const std::vector<TargetView> &targets,
                                                const std::vector<InstanceId> &routers,
                                                const TargetCounts &own)
@@ -126,8 +127,8 @@
         TargetLoad &seen = load.targets[i];
         const auto &excluded = wanted.excluded;
         const bool isExcluded = std::find(excluded.begin(), excluded.end(), seen.target) != excluded.end();
-        seen.usable
-            = seen.usable && !isExcluded && this->d->placesOn(live[i], seen, load, wanted.boundPercent, routers) > 0;
+        seen.usable = seen.usable && !isExcluded
+            && this->d->freePlacesOn(live[i], seen, load, wanted.boundPercent, routers) > 0;
     }
     std::unique_ptr<Policy> &policy = this->d->policies[wanted.policy];
     if (!policy) {
@@ -138,9 +139,10 @@
     return chosen ? std::optional(load.targets[*chosen].target) : std::nullopt;
 }
 
-void LocalPlacement::forget(Millis now)
+void LocalPlacement::dropStaleLoads(Millis now)
 {
-    std::erase_if(this->d->loads, [&](const auto &entry) { return now > entry.second.measuredAt + this->d->loadLife; });
+    std::erase_if(this->d->loads,
+                  [&](const auto &entry) { return now > entry.second.measuredAt + this->d->reportedLoadTtl; });
 }
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/admission/localplacement.h
+++ b/sequoiausher/coordination/admission/localplacement.h
@@ -3,11 +3,11 @@
 // Chooses a target without its owner, within this router's share of the places that the stricter bound leaves.
 //
 //     LocalPlacement placement(self, Millis{3000}, seed);
-//     placement.noteLoad(target, load);
+//     placement.recordLoad(target, load);
 //     const std::optional<TargetId> target = placement.choose(now, wanted, targets, routers, own);
 //     placement.placed(*target);   // and removed(*target) at the end
 
-#include "sequoiausher/coordination/admission/wanted.h"
+#include "sequoiausher/coordination/admission/placementrequest.h"
 #include "sequoiausher/state/targets/targettable.h"
 
 #include <memory>
@@ -19,24 +19,24 @@
 using TargetCounts = std::unordered_map<TargetId, std::uint32_t>;
 
 /** One fewer on the target, which has at least one. */
-void countDown(TargetCounts &counts, const TargetId &target);
+void decrementCount(TargetCounts &counts, const TargetId &target);
 
 /** The choices that one router makes alone. */
 class LocalPlacement
 {
 public:
-    /** @param loadLife a target whose last report is older takes nothing: what it carries is not known. */
-    LocalPlacement(InstanceId self, Millis loadLife, std::uint64_t seed);
+    /** @param reportedLoadTtl a target whose last report is older takes nothing: what it carries is not known. */
+    LocalPlacement(InstanceId self, Millis reportedLoadTtl, std::uint64_t seed);
     ~LocalPlacement();
     LocalPlacement(const LocalPlacement &) = delete;
     LocalPlacement &operator=(const LocalPlacement &) = delete;
 
-    void noteLoad(const TargetId &target, const ReportedLoad &load);
+    void recordLoad(const TargetId &target, const ReportedLoad &load);
 
     /** A request was placed on the target by this router alone. */
-    void placed(const TargetId &target);
+    void recordPlacement(const TargetId &target);
     /** That request ended. */
-    void removed(const TargetId &target);
+    void recordRemoval(const TargetId &target);
 
     /**
      * @param targets of the shard.
@@ -45,13 +45,13 @@
      * @return none where this router has no place left.
      */
     std::optional<TargetId> choose(Millis now,
-                                   const Wanted &wanted,
+                                   const PlacementRequest &wanted,
                                    const std::vector<TargetView> &targets,
                                    const std::vector<InstanceId> &routers,
                                    const TargetCounts &own);
 
     /** Drops the loads that are too old to be acted on. */
-    void forget(Millis now);
+    void dropStaleLoads(Millis now);
 
 private:
     class Private;
--- a/sequoiausher/coordination/admission/localshare.cpp
+++ b/sequoiausher/coordination/admission/localshare.cpp
@@ -7,7 +7,7 @@
 
 namespace Sequoiausher {
 
-std::uint64_t localHeadroom(const LocalKnowledge &known)
+std::uint64_t localHeadroom(const HeadroomInput &known)
 {
     // One request on an empty target is within every bound, so a quiet pool is not refused.
     std::uint64_t limit = std::max(strictLoadBound(known.boundPercent, known.total, known.targets), std::uint64_t{1});
--- a/sequoiausher/coordination/admission/localshare.h
+++ b/sequoiausher/coordination/admission/localshare.h
@@ -15,7 +15,7 @@
 namespace Sequoiausher {
 
 /** What a router knows of a shard by itself. */
-struct LocalKnowledge
+struct HeadroomInput
 {
     std::uint32_t boundPercent = 125;
     /** Lower bound of what is in flight in the shard. */
@@ -29,7 +29,7 @@
 };
 
 /** The places left on a target below the stricter bound, for all routers together. */
-std::uint64_t localHeadroom(const LocalKnowledge &known);
+std::uint64_t localHeadroom(const HeadroomInput &known);
 
 /**
  * How many routers come before self in the target's rendezvous order.
--- a/sequoiausher/coordination/admission/localsharetest.cpp
+++ b/sequoiausher/coordination/admission/localsharetest.cpp
@@ -48,9 +48,9 @@
     }
     CHECK(routerRank(routersOf(3), InstanceId{"other"}, 77) == 3);
     CHECK(localShare(9, 3, 3) == 0);
-    CHECK(localHeadroom(LocalKnowledge{125, 0, 4, 0, std::nullopt}) == 1);
-    CHECK(localHeadroom(LocalKnowledge{125, 80, 8, 9, 11}) == 2);
-    CHECK(localHeadroom(LocalKnowledge{125, 80, 8, 20, std::nullopt}) == 0);
+    CHECK(localHeadroom(HeadroomInput{125, 0, 4, 0, std::nullopt}) == 1);
+    CHECK(localHeadroom(HeadroomInput{125, 80, 8, 9, 11}) == 2);
+    CHECK(localHeadroom(HeadroomInput{125, 80, 8, 20, std::nullopt}) == 0);
 }
 
 TEST_CASE("the bound holds though every router places alone at once, as much as it may")
@@ -81,24 +81,24 @@
         for (const InstanceId &router : routers) {
             LocalPlacement placement(router, Millis{3000}, 1);
             for (std::size_t i = 0; i < targets.size(); ++i) {
-                placement.noteLoad(targets[i].description.target, ReportedLoad{1, each.loads[i], Millis{0}});
+                placement.recordLoad(targets[i].description.target, ReportedLoad{1, each.loads[i], Millis{0}});
             }
             for (std::uint64_t chat = 0; chat < 200; ++chat) {
-                const Wanted wanted{RequestId{0, chat},
-                                    PoolId{"p"},
-                                    hash64(std::to_string(chat)),
-                                    PolicyKind::BoundedRendezvous,
-                                    125,
-                                    {}};
+                const PlacementRequest wanted{RequestId{0, chat},
+                                              PoolId{"p"},
+                                              hash64(std::to_string(chat)),
+                                              PolicyKind::BoundedRendezvous,
+                                              125,
+                                              {}};
                 const auto target = placement.choose(Millis{100}, wanted, targets, routers, {});
                 if (target) {
-                    placement.placed(*target);
+                    placement.recordPlacement(*target);
                     carried[*target] += 1;
                     placed += 1;
                     CHECK(carried[*target] <= loadBound(125, total, targets.size()));
                 }
             }
-            const Wanted late{RequestId{1, 1}, PoolId{"p"}, 1, PolicyKind::BoundedRendezvous, 125, {}};
+            const PlacementRequest late{RequestId{1, 1}, PoolId{"p"}, 1, PolicyKind::BoundedRendezvous, 125, {}};
             CHECK_FALSE(placement.choose(Millis{9000}, late, targets, routers, {}).has_value());
         }
         CHECK(placed > 0);
--- a/sequoiausher/coordination/admission/organisationshares.cpp
+++ b/sequoiausher/coordination/admission/organisationshares.cpp
@@ -26,20 +26,20 @@
     }
 }
 
-bool OrganisationShares::isAbove(std::uint16_t organisation, std::uint64_t capacity) const
+bool OrganisationShares::isAboveShare(std::uint16_t organisation, std::uint64_t capacity) const
 {
     const auto found = this->held.find(organisation);
-    return found != this->held.end() && found->second * this->held.size() >= allowedShares * capacity;
+    return found != this->held.end() && found->second * this->held.size() >= maxEvenShares * capacity;
 }
 
-bool OrganisationShares::isAnyAbove(std::uint64_t capacity) const
+bool OrganisationShares::isAnyAboveShare(std::uint64_t capacity) const
 {
     return std::any_of(this->held.begin(), this->held.end(), [this, capacity](const auto &entry) {
-        return entry.second * this->held.size() >= allowedShares * capacity;
+        return entry.second * this->held.size() >= maxEvenShares * capacity;
     });
 }
 
-bool OrganisationShares::isBelow(std::uint16_t organisation, std::uint64_t capacity) const
+bool OrganisationShares::isBelowShare(std::uint16_t organisation, std::uint64_t capacity) const
 {
     const auto found = this->held.find(organisation);
     const std::size_t own = found == this->held.end() ? 0 : found->second;
--- a/sequoiausher/coordination/admission/organisationshares.h
+++ b/sequoiausher/coordination/admission/organisationshares.h
@@ -3,7 +3,7 @@
 // What each organisation holds of a shard, and whether that is far above an even share.
 //
 //     shares.add(organisation);
-//     if (shares.isAbove(organisation, capacity)) { grant it no place that is kept for others }
+//     if (shares.isAboveShare(organisation, capacity)) { grant it no place that is kept for others }
 //
 // Organisations are known by a short hash of their name, 0 for none told; the hash fits into bytes of a reservation
 // that were padding. Two that share a hash share a share: one in 65536 does with a given other. What an owner learnt
@@ -27,22 +27,22 @@
      * How many even shares an organisation may hold before it counts as above. At one, the quiet ones of a fleet would
      * pass it by chance: with a mean of two requests each, one in four at any time, with two shares one in a hundred.
      */
-    static constexpr std::uint64_t allowedShares = 2;
+    static constexpr std::uint64_t maxEvenShares = 2;
 
     void add(std::uint16_t organisation);
     void remove(std::uint16_t organisation);
 
     /**
-     * Whether it holds at least allowedShares times the capacity divided by the organisations that hold something; with
+     * Whether it holds at least maxEvenShares times the capacity divided by the organisations that hold something; with
      * one or two of these never.
      */
-    bool isAbove(std::uint16_t organisation, std::uint64_t capacity) const;
+    bool isAboveShare(std::uint16_t organisation, std::uint64_t capacity) const;
 
     /** Whether any of them is. */
-    bool isAnyAbove(std::uint64_t capacity) const;
+    bool isAnyAboveShare(std::uint64_t capacity) const;
 
     /** Whether it holds less than the capacity divided by the organisations that hold something; never for 0. */
-    bool isBelow(std::uint16_t organisation, std::uint64_t capacity) const;
+    bool isBelowShare(std::uint16_t organisation, std::uint64_t capacity) const;
 
 private:
     std::map<std::uint16_t, std::size_t> held;
--- a/sequoiausher/coordination/admission/organisationsharestest.cpp
+++ b/sequoiausher/coordination/admission/organisationsharestest.cpp
@@ -33,9 +33,9 @@
                 shares.add(organisation);
             }
         }
-        CHECK(shares.isAbove(1, 32) == row.firstIsAbove);
-        CHECK(shares.isAnyAbove(32) == row.firstIsAbove);
-        CHECK(shares.isBelow(organisation, 32) == row.lastIsBelow);
+        CHECK(shares.isAboveShare(1, 32) == row.firstIsAbove);
+        CHECK(shares.isAnyAboveShare(32) == row.firstIsAbove);
+        CHECK(shares.isBelowShare(organisation, 32) == row.lastIsBelow);
     }
 }
 
@@ -48,13 +48,13 @@
     }
     shares.add(2);
     shares.add(3);
-    CHECK(shares.isAbove(1, 32));
-    CHECK(!shares.isAbove(0, 32));
+    CHECK(shares.isAboveShare(1, 32));
+    CHECK(!shares.isAboveShare(0, 32));
     for (int i = 0; i < 32; ++i) {
         shares.remove(1);
     }
-    CHECK(!shares.isAbove(1, 32));
+    CHECK(!shares.isAboveShare(1, 32));
     shares.remove(1);
-    CHECK(!shares.isAbove(1, 0));
+    CHECK(!shares.isAboveShare(1, 0));
     CHECK(organisationHash("a") != organisationHash("b"));
 }
--- a/sequoiausher/coordination/admission/ownedshards.cpp
+++ b/sequoiausher/coordination/admission/ownedshards.cpp
@@ -11,9 +11,9 @@
 
 constexpr Millis tickInterval{1000};
 // Lists disagree for seconds: others may know for this long, before this router does, that it owns a shard.
-constexpr Millis earlyLife{5000};
+constexpr Millis earlyMessageTtl{5000};
 // Only a flood reaches this; dropping then costs no more than waiting for the next reports.
-constexpr std::size_t maximumEarly = 20000;
+constexpr std::size_t maxEarlyMessages = 20000;
 
 struct OwnedShard
 {
@@ -24,7 +24,7 @@
 /** A message for a shard that this router does not own yet. */
 struct EarlyMessage
 {
-    Millis heardAt;
+    Millis receivedAt;
     InstanceId from;
     std::variant<Release, HoldingsReport> message;
 };
@@ -44,8 +44,8 @@
     std::uint64_t seed = 0;
     std::map<ShardId, OwnedShard> shards;
     /** The owners of the shards that are not this router's. */
-    std::map<ShardId, InstanceId> others;
-    std::deque<EarlyMessage> early;
+    std::map<ShardId, InstanceId> otherOwners;
+    std::deque<EarlyMessage> earlyMessages;
     Millis lastTick;
 };
 
@@ -58,20 +58,20 @@
     }
     // Goes wrong otherwise: entries that learn of a death before this router does send it their reports at once, it
     // drops them, and once it takes over it waits for them until the settle time.
-    if (this->early.size() < maximumEarly) {
-        this->early.push_back(EarlyMessage{now, from, message});
+    if (this->earlyMessages.size() < maxEarlyMessages) {
+        this->earlyMessages.push_back(EarlyMessage{now, from, message});
     }
 }
 
 void OwnedShards::Private::replay(Millis now, const ShardId &shard, ShardOwner &owner) const
 {
-    for (const EarlyMessage &kept : this->early) {
+    for (const EarlyMessage &kept : this->earlyMessages) {
         const auto apply = [&](const auto &message) {
             if (message.pool == shard.pool && message.shard == shard.shard) {
                 owner.receive(now, kept.from, message);
             }
         };
-        if (now < kept.heardAt + earlyLife) {
+        if (now < kept.receivedAt + earlyMessageTtl) {
             std::visit(apply, kept.message);
         }
     }
@@ -96,11 +96,11 @@
 void OwnedShards::update(Millis now, const ShardMap &map)
 {
     std::map<ShardId, OwnedShard> kept;
-    this->d->others.clear();
+    this->d->otherOwners.clear();
     for (const ShardId &shard : map.shards()) {
         InstanceId shardOwner = map.ownerOf(shard);
         if (shardOwner != this->d->self) {
-            this->d->others[shard] = std::move(shardOwner);
+            this->d->otherOwners[shard] = std::move(shardOwner);
             continue;
         }
         OwnedShard &owned = kept[shard];
@@ -121,12 +121,12 @@
     this->d->shards = std::move(kept);
 }
 
-void OwnedShards::noteSums(const ShardMap &map)
+void OwnedShards::refreshPoolLoads(const ShardMap &map)
 {
     for (const auto &entry : this->d->shards) {
         const std::uint32_t shards = map.shardCount(entry.first.pool);
         if (shards < 2) {
-            entry.second.owner->notePool(0, 0);
+            entry.second.owner->setPoolLoad(0, 0);
             continue;
         }
         std::uint64_t total = 0;
@@ -136,18 +136,18 @@
             total += sum ? sum->inFlight : 0;
             targets += sum ? sum->targets : 0;
         }
-        entry.second.owner->notePool(total, targets);
+        entry.second.owner->setPoolLoad(total, targets);
     }
 }
 
-void OwnedShards::instanceGone(const InstanceId &instance)
+void OwnedShards::dropInstance(const InstanceId &instance)
 {
     for (const auto &entry : this->d->shards) {
         entry.second.owner->dropEntry(instance);
     }
 }
 
-void OwnedShards::instanceSuspected(Millis now, const InstanceId &instance)
+void OwnedShards::suspectInstance(Millis now, const InstanceId &instance)
 {
     for (const auto &entry : this->d->shards) {
         entry.second.owner->suspectEntry(now, instance);
@@ -167,8 +167,8 @@
         owner->receive(now, from, message, outbox);
         return;
     }
-    const auto other = this->d->others.find(ShardId{message.pool, message.shard});
-    InstanceId shardOwner = other == this->d->others.end() ? InstanceId{} : other->second;
+    const auto other = this->d->otherOwners.find(ShardId{message.pool, message.shard});
+    InstanceId shardOwner = other == this->d->otherOwners.end() ? InstanceId{} : other->second;
     outbox.push_back(
         {from, ReserveReply{message.request, ReserveVerdict::NotOwner, TargetId{}, Millis{}, std::move(shardOwner)}});
 }
@@ -216,14 +216,15 @@
     for (const auto &entry : this->d->shards) {
         entry.second.owner->tick(now);
     }
-    while (!this->d->early.empty() && now >= this->d->early.front().heardAt + earlyLife) {
-        this->d->early.pop_front();
+    while (!this->d->earlyMessages.empty() && now >= this->d->earlyMessages.front().receivedAt + earlyMessageTtl) {
+        this->d->earlyMessages.pop_front();
     }
 }
 
 Millis OwnedShards::nextDeadline() const
 {
-    return this->d->shards.empty() && this->d->early.empty() ? Millis::never() : this->d->lastTick + tickInterval;
+    return this->d->shards.empty() && this->d->earlyMessages.empty() ? Millis::never()
+                                                                     : this->d->lastTick + tickInterval;
 }
 
 std::vector<ShardSum> OwnedShards::sums(Millis now) const
--- a/sequoiausher/coordination/admission/ownedshards.h
+++ b/sequoiausher/coordination/admission/ownedshards.h
@@ -23,13 +23,13 @@
     void update(Millis now, const ShardMap &map);
 
     /** Takes over the sums that map heard on heartbeats; call after each heartbeat or about twice a second. */
-    void noteSums(const ShardMap &map);
+    void refreshPoolLoads(const ShardMap &map);
 
     /** The router is known to have died; not for one that is leaving, which still holds its streams. */
-    void instanceGone(const InstanceId &instance);
+    void dropInstance(const InstanceId &instance);
 
     /** The connection to the router broke: it may have died. */
-    void instanceSuspected(Millis now, const InstanceId &instance);
+    void suspectInstance(Millis now, const InstanceId &instance);
 
     /** What a target said of its load; ignored for targets of other owners. */
     void reportLoad(const TargetId &target, std::uint32_t load, Millis measuredAt);
--- a/sequoiausher/coordination/admission/wanted.h
+++ b/sequoiausher/coordination/admission/placementrequest.h
@@ -2,7 +2,7 @@
 
 // What a request asks of admission.
 //
-//     const Wanted wanted{request, PoolId{"plates"}, chatHash, PolicyKind::BoundedRendezvous, 125, {}};
+//     const PlacementRequest wanted{request, PoolId{"plates"}, chatHash, PolicyKind::BoundedRendezvous, 125, {}};
 
 #include "sequoiausher/base/millis.h"
 #include "sequoiausher/coordination/messages/admissionmessages.h"
@@ -10,7 +10,7 @@
 namespace Sequoiausher {
 
 /** A request that wants a target. */
-struct Wanted
+struct PlacementRequest
 {
     RequestId request;
     PoolId pool;
--- a/sequoiausher/coordination/admission/recentchats.cpp
+++ b/sequoiausher/coordination/admission/recentchats.cpp
@@ -32,7 +32,7 @@
 
 RecentChats::~RecentChats() = default;
 
-void RecentChats::placed(std::uint64_t chatHash, const TargetId &target)
+void RecentChats::recordPlacement(std::uint64_t chatHash, const TargetId &target)
 {
     const auto known = this->d->byChat.find(chatHash);
     if (known != this->d->byChat.end()) {
--- a/sequoiausher/coordination/admission/recentchats.h
+++ b/sequoiausher/coordination/admission/recentchats.h
@@ -24,7 +24,7 @@
     RecentChats(const RecentChats &) = delete;
     RecentChats &operator=(const RecentChats &) = delete;
 
-    void placed(std::uint64_t chatHash, const TargetId &target);
+    void recordPlacement(std::uint64_t chatHash, const TargetId &target);
 
     /** Valid until the next call of placed(). */
     const TargetId *find(std::uint64_t chatHash) const;
--- a/sequoiausher/coordination/admission/recentchatstest.cpp
+++ b/sequoiausher/coordination/admission/recentchatstest.cpp
@@ -8,10 +8,10 @@
 {
     RecentChats chats(2);
     CHECK(chats.find(1) == nullptr);
-    chats.placed(1, TargetId{"a"});
-    chats.placed(2, TargetId{"a"});
-    chats.placed(1, TargetId{"b"});
-    chats.placed(3, TargetId{"a"});
+    chats.recordPlacement(1, TargetId{"a"});
+    chats.recordPlacement(2, TargetId{"a"});
+    chats.recordPlacement(1, TargetId{"b"});
+    chats.recordPlacement(3, TargetId{"a"});
     REQUIRE(chats.find(1) != nullptr);
     CHECK(*chats.find(1) == TargetId{"b"});
     CHECK(chats.find(2) == nullptr);
--- a/sequoiausher/coordination/admission/reportdifferentialtest.cpp
+++ b/sequoiausher/coordination/admission/reportdifferentialtest.cpp
@@ -79,7 +79,7 @@
             RC_ASSERT(this->byReports->counted(target) == this->byDigests->counted(target));
         }
         RC_ASSERT(this->byReports->holdings() == this->byDigests->holdings());
-        RC_ASSERT(this->byReports->settled(this->now) == this->byDigests->settled(this->now));
+        RC_ASSERT(this->byReports->isSettled(this->now) == this->byDigests->isSettled(this->now));
     }
 
     std::size_t spared = 0;
--- a/sequoiausher/coordination/admission/reserver.cpp
+++ b/sequoiausher/coordination/admission/reserver.cpp
@@ -16,29 +16,29 @@
 
 constexpr int incarnationShift = 20;
 // A router further back in a target's order has no place on it while fewer than this many are free.
-constexpr std::size_t askedRanks = 16;
+constexpr std::size_t loadQueryRanks = 16;
 // The queue refuses what is late by itself; it only has to look again.
 constexpr Millis lateRetryAfter{1};
 
 /** A reservation asked for and not answered. */
 struct Pending
 {
-    Wanted wanted;
+    PlacementRequest wanted;
     RequestId reservation;
     ShardRoute route;
     Millis deadline;
     /** Asked for so often without an answer. */
-    std::uint32_t tries = 0;
+    std::uint32_t attempts = 0;
     /** The owner answered NotOwner, so this waits for lists to agree. */
-    bool refusedByOwner = false;
+    bool awaitsOwnerChange = false;
     /** It was passed on to the router that a NotOwner named. */
     bool redirected = false;
     /** Until when it follows an owner that moves; set by the first NotOwner. */
-    Millis followUntil = Millis::never();
+    Millis redirectDeadline = Millis::never();
 };
 
 /** A reservation that was granted. */
-struct Kept
+struct GrantedReservation
 {
     RequestId reservation;
     PoolId pool;
@@ -56,41 +56,41 @@
         : self(name)
         , settings(given)
         , map(shards)
-        , placement(std::move(name), given.loadLife, seed)
+        , placement(std::move(name), given.reportedLoadTtl, seed)
     {
     }
 
-    void ask(Millis now, Pending &pending, Outbox &outbox);
-    void askAnew(Millis now, Pending &pending, Outbox &outbox);
-    void askOwner(Millis now, Pending &pending, const ShardRoute &route, Outbox &outbox);
-    void follow(Millis now, Pending &pending, const InstanceId &named, Outbox &outbox);
-    void giveUp(Pending &pending, Outbox &outbox) const;
+    void sendRequest(Millis now, Pending &pending, Outbox &outbox);
+    void reroute(Millis now, Pending &pending, Outbox &outbox);
+    void requestFrom(Millis now, Pending &pending, const ShardRoute &route, Outbox &outbox);
+    void handleNotOwner(Millis now, Pending &pending, const InstanceId &named, Outbox &outbox);
+    void cancelPending(Pending &pending, Outbox &outbox) const;
     void grant(const Pending &pending, const TargetId &target, bool isLocal);
     void refuse(const RequestId &request, ReserveOutcome outcome, Millis retryAfter);
-    void decideAlone(Millis now, const RequestId &request);
-    void expire(Millis now, const RequestId &request, Outbox &outbox);
+    void placeLocally(Millis now, const RequestId &request);
+    void handleTimeout(Millis now, const RequestId &request, Outbox &outbox);
     void report(const ShardId &shard, Outbox &outbox);
     void sendReport(const ShardId &shard, const InstanceId &owner, Outbox &outbox);
     void sendDigest(const ShardId &shard, const InstanceId &owner, Outbox &outbox);
     bool takesDigests(const ShardId &shard, const InstanceId &owner) const;
     bool isUnreachable(Millis now, const InstanceId &owner) const;
     std::set<InstanceId> lateOwners() const;
-    ShardId shardOf(const Kept &kept) const;
+    ShardId shardOf(const GrantedReservation &granted) const;
     void sendRelease(const InstanceId &to, const RequestId &reservation, const ShardId &shard, Outbox &outbox) const;
-    void letGo(const Kept &kept, Outbox &outbox);
+    void releaseGranted(const GrantedReservation &granted, Outbox &outbox);
 
     InstanceId self;
     ReserverSettings settings;
     const ShardMap &map;
     LocalPlacement placement;
     std::uint64_t sequence = 0;
-    std::uint64_t reservations = 0;
+    std::uint64_t reservationCount = 0;
     std::unordered_map<RequestId, Pending> pending;
-    std::unordered_map<RequestId, Kept> kept;
+    std::unordered_map<RequestId, GrantedReservation> granted;
     /** From the ids on the wire back to the requests. */
     std::unordered_map<RequestId, RequestId> requestOf;
     /** Held by this router on each target. */
-    TargetCounts own;
+    TargetCounts ownCounts;
     std::map<InstanceId, Millis> unreachableUntil;
     std::map<ShardId, InstanceId> owners;
     /** The owners that said that they take digests, each until it changes or its connection breaks. */
@@ -116,16 +116,17 @@
 {
     std::set<InstanceId> late;
     for (const auto &entry : this->pending) {
-        if (entry.second.tries > 1) {
+        if (entry.second.attempts > 1) {
             late.insert(entry.second.route.owner);
         }
     }
     return late;
 }
 
-ShardId Reserver::Private::shardOf(const Kept &keptOne) const
+ShardId Reserver::Private::shardOf(const GrantedReservation &grantedReservation) const
 {
-    return ShardId{keptOne.pool, this->map.shardOfTarget(keptOne.pool, keptOne.target)};
+    return ShardId{grantedReservation.pool,
+                   this->map.shardOfTarget(grantedReservation.pool, grantedReservation.target)};
 }
 
 void Reserver::Private::sendRelease(const InstanceId &to,
@@ -146,46 +147,47 @@
     this->pending.erase(refused);
 }
 
-void Reserver::Private::grant(const Pending &pendingOne, const TargetId &target, bool isLocal)
+void Reserver::Private::grant(const Pending &pendingRequest, const TargetId &target, bool isLocal)
 {
-    const RequestId &request = pendingOne.wanted.request;
-    const InstanceId grantedBy = isLocal ? InstanceId{} : pendingOne.route.owner;
-    this->kept[request] = Kept{pendingOne.reservation, pendingOne.wanted.pool, target, grantedBy, isLocal};
-    this->own[target] += 1;
+    const RequestId &request = pendingRequest.wanted.request;
+    const InstanceId grantedBy = isLocal ? InstanceId{} : pendingRequest.route.owner;
+    this->granted[request]
+        = GrantedReservation{pendingRequest.reservation, pendingRequest.wanted.pool, target, grantedBy, isLocal};
+    this->ownCounts[target] += 1;
     if (isLocal) {
-        this->placement.placed(target);
+        this->placement.recordPlacement(target);
     }
     const ReserveOutcome outcome = isLocal ? ReserveOutcome::GrantedLocally : ReserveOutcome::Granted;
     this->results.push_back(ReserveResult{request, outcome, target, Millis{}});
 }
 
-void Reserver::Private::letGo(const Kept &keptOne, Outbox &outbox)
+void Reserver::Private::releaseGranted(const GrantedReservation &grantedReservation, Outbox &outbox)
 {
-    countDown(this->own, keptOne.target);
-    if (keptOne.isLocal) {
-        this->placement.removed(keptOne.target);
+    decrementCount(this->ownCounts, grantedReservation.target);
+    if (grantedReservation.isLocal) {
+        this->placement.recordRemoval(grantedReservation.target);
     }
-    const ShardId shard = this->shardOf(keptOne);
+    const ShardId shard = this->shardOf(grantedReservation);
     const InstanceId owner = this->map.ownerOf(shard);
-    this->sendRelease(owner, keptOne.reservation, shard, outbox);
-    if (keptOne.grantedBy != owner) {
+    this->sendRelease(owner, grantedReservation.reservation, shard, outbox);
+    if (grantedReservation.grantedBy != owner) {
         // The router that granted it may still believe that it owns the shard.
-        this->sendRelease(keptOne.grantedBy, keptOne.reservation, shard, outbox);
+        this->sendRelease(grantedReservation.grantedBy, grantedReservation.reservation, shard, outbox);
     }
-    this->requestOf.erase(keptOne.reservation);
+    this->requestOf.erase(grantedReservation.reservation);
 }
 
-void Reserver::Private::ask(Millis now, Pending &pendingOne, Outbox &outbox)
+void Reserver::Private::sendRequest(Millis now, Pending &pendingRequest, Outbox &outbox)
 {
-    const Wanted &wanted = pendingOne.wanted;
-    pendingOne.tries += 1;
-    this->reportDue[pendingOne.route.shard] = true;
-    pendingOne.refusedByOwner = false;
-    pendingOne.deadline = std::min(now + this->settings.replyTimeout, wanted.giveUpAt);
-    outbox.push_back({pendingOne.route.owner,
-                      ReserveRequest{pendingOne.reservation,
+    const PlacementRequest &wanted = pendingRequest.wanted;
+    pendingRequest.attempts += 1;
+    this->reportDue[pendingRequest.route.shard] = true;
+    pendingRequest.awaitsOwnerChange = false;
+    pendingRequest.deadline = std::min(now + this->settings.replyTimeout, wanted.giveUpAt);
+    outbox.push_back({pendingRequest.route.owner,
+                      ReserveRequest{pendingRequest.reservation,
                                      wanted.pool,
-                                     pendingOne.route.shard.shard,
+                                     pendingRequest.route.shard.shard,
                                      wanted.chatHash,
                                      wanted.policy,
                                      wanted.boundPercent,
@@ -195,54 +197,55 @@
                                      wanted.organisation}});
 }
 
-void Reserver::Private::giveUp(Pending &pendingOne, Outbox &outbox) const
+void Reserver::Private::cancelPending(Pending &pendingRequest, Outbox &outbox) const
 {
     // The owner may have granted it, with the answer lost or late.
-    this->sendRelease(pendingOne.route.owner, pendingOne.reservation, pendingOne.route.shard, outbox);
+    this->sendRelease(pendingRequest.route.owner, pendingRequest.reservation, pendingRequest.route.shard, outbox);
 }
 
-void Reserver::Private::askAnew(Millis now, Pending &pendingOne, Outbox &outbox)
+void Reserver::Private::reroute(Millis now, Pending &pendingRequest, Outbox &outbox)
 {
-    const std::optional<ShardRoute> route = this->map.routeOf(pendingOne.wanted.pool, pendingOne.wanted.chatHash);
-    const RequestId request = pendingOne.wanted.request;
+    const std::optional<ShardRoute> route
+        = this->map.routeOf(pendingRequest.wanted.pool, pendingRequest.wanted.chatHash);
+    const RequestId request = pendingRequest.wanted.request;
     if (!route) {
         this->refuse(request, ReserveOutcome::NoTarget, this->settings.retryAfter);
         return;
     }
-    pendingOne.redirected = false;
-    this->askOwner(now, pendingOne, *route, outbox);
+    pendingRequest.redirected = false;
+    this->requestFrom(now, pendingRequest, *route, outbox);
 }
 
-void Reserver::Private::askOwner(Millis now, Pending &pendingOne, const ShardRoute &route, Outbox &outbox)
+void Reserver::Private::requestFrom(Millis now, Pending &pendingRequest, const ShardRoute &route, Outbox &outbox)
 {
-    const RequestId request = pendingOne.wanted.request;
+    const RequestId request = pendingRequest.wanted.request;
     // A new id for each shard and owner asked, so that the release of the one cannot touch the other.
     constexpr std::uint64_t spread = 0x9e3779b97f4a7c15ULL;
-    this->requestOf.erase(pendingOne.reservation);
-    pendingOne.route = route;
-    this->reservations += 1;
-    pendingOne.reservation = RequestId{request.high, request.low ^ (this->reservations * spread)};
-    this->requestOf[pendingOne.reservation] = request;
+    this->requestOf.erase(pendingRequest.reservation);
+    pendingRequest.route = route;
+    this->reservationCount += 1;
+    pendingRequest.reservation = RequestId{request.high, request.low ^ (this->reservationCount * spread)};
+    this->requestOf[pendingRequest.reservation] = request;
     if (this->isUnreachable(now, route.owner)) {
-        this->decideAlone(now, request);
+        this->placeLocally(now, request);
         return;
     }
-    this->ask(now, pendingOne, outbox);
+    this->sendRequest(now, pendingRequest, outbox);
 }
 
 // What goes wrong: a router returns, the shard's owner learns it first and hands out nothing more, and for about a
 // second this router's list still names the former owner. Asking that one alone until the tries are used up refuses
 // requests while every target has room; it shows as pool_full in a planned stop. So the named owner is asked at once,
 // and where the two disagree too, this waits for the lists, for a bounded time.
-void Reserver::Private::follow(Millis now, Pending &moved, const InstanceId &named, Outbox &outbox)
+void Reserver::Private::handleNotOwner(Millis now, Pending &moved, const InstanceId &named, Outbox &outbox)
 {
-    if (moved.refusedByOwner) {
+    if (moved.awaitsOwnerChange) {
         return;
     }
     // It did answer.
-    moved.tries -= 1;
-    if (moved.followUntil == Millis::never()) {
-        moved.followUntil = now + this->settings.ownerMoveLimit;
+    moved.attempts -= 1;
+    if (moved.redirectDeadline == Millis::never()) {
+        moved.redirectDeadline = now + this->settings.redirectTimeout;
     }
     const bool mayRedirect = !moved.redirected && named != moved.route.owner && !this->isUnreachable(now, named);
     if (mayRedirect) {
@@ -250,20 +253,20 @@
         // What goes wrong without it: the question was sent twice, the second one finds the shard's owner where the
         // first did not, and a place is granted that nobody takes. It shows as a target that counts one too many for
         // seconds.
-        this->giveUp(moved, outbox);
-        this->askOwner(now, moved, ShardRoute{moved.route.shard, named}, outbox);
+        this->cancelPending(moved, outbox);
+        this->requestFrom(now, moved, ShardRoute{moved.route.shard, named}, outbox);
         return;
     }
-    moved.refusedByOwner = true;
+    moved.awaitsOwnerChange = true;
     moved.deadline = now + this->settings.notOwnerDelay;
 }
 
-void Reserver::Private::decideAlone(Millis now, const RequestId &request)
+void Reserver::Private::placeLocally(Millis now, const RequestId &request)
 {
     const Pending &alone = this->pending.at(request);
     const std::vector<TargetView> targets = this->map.targetsOf(alone.route.shard);
     const std::optional<TargetId> target
-        = this->placement.choose(now, alone.wanted, targets, this->map.instances(), this->own);
+        = this->placement.choose(now, alone.wanted, targets, this->map.instances(), this->ownCounts);
     if (target) {
         this->grant(alone, *target, true);
         this->pending.erase(request);
@@ -272,30 +275,31 @@
     this->refuse(request, ReserveOutcome::Unreachable, this->settings.retryAfter);
 }
 
-void Reserver::Private::expire(Millis now, const RequestId &request, Outbox &outbox)
+void Reserver::Private::handleTimeout(Millis now, const RequestId &request, Outbox &outbox)
 {
     Pending &expired = this->pending.at(request);
     if (now >= expired.wanted.giveUpAt) {
-        this->giveUp(expired, outbox);
+        this->cancelPending(expired, outbox);
         this->refuse(request, ReserveOutcome::Full, lateRetryAfter);
         return;
     }
     const bool sameOwner = this->map.ownerOf(expired.route.shard) == expired.route.owner;
-    const bool mayAsk = expired.refusedByOwner ? now < expired.followUntil : expired.tries < this->settings.tries;
-    if (mayAsk) {
+    const bool mayRetry
+        = expired.awaitsOwnerChange ? now < expired.redirectDeadline : expired.attempts < this->settings.maxAttempts;
+    if (mayRetry) {
         if (sameOwner && !this->isUnreachable(now, expired.route.owner)) {
-            this->ask(now, expired, outbox);
+            this->sendRequest(now, expired, outbox);
             return;
         }
-        this->giveUp(expired, outbox);
-        this->askAnew(now, expired, outbox);
+        this->cancelPending(expired, outbox);
+        this->reroute(now, expired, outbox);
         return;
     }
-    if (!expired.refusedByOwner) {
+    if (!expired.awaitsOwnerChange) {
         this->unreachableUntil[expired.route.owner] = now + this->settings.unreachableTime;
     }
-    this->giveUp(expired, outbox);
-    this->decideAlone(now, request);
+    this->cancelPending(expired, outbox);
+    this->placeLocally(now, request);
 }
 
 bool Reserver::Private::takesDigests(const ShardId &shard, const InstanceId &owner) const
@@ -322,7 +326,7 @@
 void Reserver::Private::sendDigest(const ShardId &shard, const InstanceId &owner, Outbox &outbox)
 {
     HoldingSet set;
-    for (const auto &entry : this->kept) {
+    for (const auto &entry : this->granted) {
         if (this->shardOf(entry.second) == shard) {
             set.add(entry.second.reservation);
         }
@@ -338,7 +342,7 @@
 {
     HoldingsReport message{shard.pool, shard.shard, ++this->sequence, {}};
     message.wantsAnswer = this->settings.sendsDigests && !this->takesDigests(shard, owner);
-    for (const auto &entry : this->kept) {
+    for (const auto &entry : this->granted) {
         if (this->shardOf(entry.second) == shard) {
             message.holdings.push_back(Holding{entry.second.reservation, entry.second.target});
         }
@@ -364,26 +368,26 @@
 
 Reserver::~Reserver() = default;
 
-void Reserver::reserve(Millis now, const Wanted &wanted, Outbox &outbox)
+void Reserver::reserve(Millis now, const PlacementRequest &wanted, Outbox &outbox)
 {
     this->release(now, wanted.request, outbox);
     Pending &pending = this->d->pending[wanted.request];
     pending.wanted = wanted;
-    this->d->askAnew(now, pending, outbox);
+    this->d->reroute(now, pending, outbox);
 }
 
 void Reserver::release(Millis /*now*/, const RequestId &request, Outbox &outbox)
 {
     const auto pending = this->d->pending.find(request);
     if (pending != this->d->pending.end()) {
-        this->d->giveUp(pending->second, outbox);
+        this->d->cancelPending(pending->second, outbox);
         this->d->requestOf.erase(pending->second.reservation);
         this->d->pending.erase(pending);
     }
-    const auto kept = this->d->kept.find(request);
-    if (kept != this->d->kept.end()) {
-        this->d->letGo(kept->second, outbox);
-        this->d->kept.erase(kept);
+    const auto granted = this->d->granted.find(request);
+    if (granted != this->d->granted.end()) {
+        this->d->releaseGranted(granted->second, outbox);
+        this->d->granted.erase(granted);
     }
 }
 
@@ -412,7 +416,7 @@
         this->d->refuse(request, ReserveOutcome::NoTarget, message.retryAfter);
         return;
     case ReserveVerdict::NotOwner:
-        this->d->follow(now, pending, message.owner, outbox);
+        this->d->handleNotOwner(now, pending, message.owner, outbox);
         return;
     }
 }
@@ -430,7 +434,7 @@
     }
 }
 
-void Reserver::listsChanged(Millis now, Outbox &outbox)
+void Reserver::handleMapChange(Millis now, Outbox &outbox)
 {
     std::map<ShardId, InstanceId> owners;
     for (const ShardId &shard : this->d->map.shards()) {
@@ -445,8 +449,8 @@
     }
     for (const RequestId &request : moved) {
         Pending &pending = this->d->pending.at(request);
-        this->d->giveUp(pending, outbox);
-        this->d->askAnew(now, pending, outbox);
+        this->d->cancelPending(pending, outbox);
+        this->d->reroute(now, pending, outbox);
     }
     for (const auto &entry : owners) {
         const auto before = this->d->owners.find(entry.first);
@@ -458,7 +462,7 @@
     this->d->owners = std::move(owners);
 }
 
-void Reserver::peerUnreachable(Millis now, const InstanceId &peer, Outbox &outbox)
+void Reserver::markPeerUnreachable(Millis now, const InstanceId &peer, Outbox &outbox)
 {
     // What goes wrong if one that left is marked too: a router ends as planned, its successor of the same name takes
     // its shards back within the second, and is not asked. It shows as refusals just after each return.
@@ -468,30 +472,30 @@
     }
     // Its next life may be of a version that knows no digests: it would pass over them, and drop what is held here.
     std::erase_if(this->d->digestOwners, [&peer](const auto &entry) { return entry.second == peer; });
-    std::vector<RequestId> waiting;
+    std::vector<RequestId> affected;
     for (const auto &entry : this->d->pending) {
         if (entry.second.route.owner == peer) {
-            waiting.push_back(entry.first);
+            affected.push_back(entry.first);
         }
     }
-    for (const RequestId &request : waiting) {
+    for (const RequestId &request : affected) {
         Pending &pending = this->d->pending.at(request);
-        this->d->giveUp(pending, outbox);
-        this->d->askAnew(now, pending, outbox);
+        this->d->cancelPending(pending, outbox);
+        this->d->reroute(now, pending, outbox);
     }
 }
 
-void Reserver::peerReachable(const InstanceId &peer)
+void Reserver::markPeerReachable(const InstanceId &peer)
 {
     this->d->unreachableUntil.erase(peer);
 }
 
-void Reserver::noteLoad(const TargetId &target, const ReportedLoad &load)
+void Reserver::recordLoad(const TargetId &target, const ReportedLoad &load)
 {
-    this->d->placement.noteLoad(target, load);
+    this->d->placement.recordLoad(target, load);
 }
 
-std::vector<TargetView> Reserver::wantsLoads(Millis now) const
+std::vector<TargetView> Reserver::targetsNeedingLoad(Millis now) const
 {
     std::vector<TargetView> wanted;
     const std::set<InstanceId> late = this->d->lateOwners();
@@ -500,7 +504,7 @@
             continue;
         }
         for (const TargetView &target : this->d->map.targetsOf(entry.first)) {
-            if (routerRank(this->d->map.instances(), this->d->self, target.hash) < askedRanks) {
+            if (routerRank(this->d->map.instances(), this->d->self, target.hash) < loadQueryRanks) {
                 wanted.push_back(target);
             }
         }
@@ -517,13 +521,13 @@
         }
     }
     for (const RequestId &request : expired) {
-        this->d->expire(now, request, outbox);
+        this->d->handleTimeout(now, request, outbox);
     }
     if (now < this->d->nextReport) {
         return;
     }
     this->d->nextReport = now + this->d->settings.reportInterval;
-    for (const auto &entry : this->d->kept) {
+    for (const auto &entry : this->d->granted) {
         this->d->reportDue[this->d->shardOf(entry.second)] = true;
     }
     std::vector<ShardId> due;
@@ -537,7 +541,7 @@
         this->d->report(shard, outbox);
     }
     std::erase_if(this->d->unreachableUntil, [now](const auto &entry) { return now >= entry.second; });
-    this->d->placement.forget(now);
+    this->d->placement.dropStaleLoads(now);
 }
 
 Millis Reserver::nextDeadline() const
@@ -556,7 +560,7 @@
 
 std::size_t Reserver::held() const
 {
-    return this->d->kept.size();
+    return this->d->granted.size();
 }
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/admission/reserver.h
+++ b/sequoiausher/coordination/admission/reserver.h
@@ -3,7 +3,7 @@
 // The entry's side of admission: gets a target for each request from the shard's owner, keeps the owners told of what
 // this router holds, and decides alone, within its share, while an owner cannot be reached.
 //
-//     reserver.reserve(now, Wanted{request, pool, chatHash, PolicyKind::BoundedRendezvous, 125, {}}, outbox);
+//     reserver.reserve(now, PlacementRequest{request, pool, chatHash, PolicyKind::BoundedRendezvous, 125, {}}, outbox);
 //     reserver.receive(now, from, reply, outbox);
 //     for (const ReserveResult &result : reserver.takeResults()) { dispatch or refuse }
 //     reserver.release(now, request, outbox);            // at the end, or when the target turned out unusable
@@ -11,8 +11,8 @@
 // On the wire, each try to reserve has an id of its own, derived from the request's: a release of the first try, late
 // or repeated, cannot undo the second. Messages to this router itself go through the outbox like all others.
 
+#include "sequoiausher/coordination/admission/placementrequest.h"
 #include "sequoiausher/coordination/admission/shardmap.h"
-#include "sequoiausher/coordination/admission/wanted.h"
 #include "sequoiausher/coordination/messages/peermessage.h"
 
 namespace Sequoiausher {
@@ -27,16 +27,16 @@
      * How long one reservation follows an owner that moves, before this router decides alone. Shorter than the dispatch
      * window of a claim, which runs meanwhile.
      */
-    Millis ownerMoveLimit{400};
+    Millis redirectTimeout{400};
     /** How often one reservation is asked for without an answer. */
-    std::uint32_t tries = 3;
+    std::uint32_t maxAttempts = 3;
     /** How long an owner that did not answer is not asked. */
     Millis unreachableTime{1000};
     Millis reportInterval{5000};
     /** Whether digests go in place of reports to owners that take them. */
     bool sendsDigests = true;
     /** Loads older than this are not acted on alone. */
-    Millis loadLife{3000};
+    Millis reportedLoadTtl{3000};
     /** What is told to a request refused because the owner could not be reached. */
     Millis retryAfter{1000};
 
@@ -82,7 +82,7 @@
 {
 public:
     /**
-     * @param map must outlive this; after each change to it call listsChanged().
+     * @param map must outlive this; after each change to it call handleMapChange().
      * @param incarnation orders the reports of this life of the router after those of earlier ones.
      */
     Reserver(InstanceId self,
@@ -95,7 +95,7 @@
     Reserver &operator=(const Reserver &) = delete;
 
     /** Starts a reservation; what the request held or asked for before is released. Ends in one result. */
-    void reserve(Millis now, const Wanted &wanted, Outbox &outbox);
+    void reserve(Millis now, const PlacementRequest &wanted, Outbox &outbox);
 
     /** Lets the request's target go, or gives up asking. A request that holds nothing is ignored. */
     void release(Millis now, const RequestId &request, Outbox &outbox);
@@ -106,22 +106,22 @@
     void receive(const InstanceId &from, const HoldingsAnswer &message, Outbox &outbox);
 
     /** The map changed: new owners are told at once, and what was asked of an owner that is none is asked anew. */
-    void listsChanged(Millis now, Outbox &outbox);
+    void handleMapChange(Millis now, Outbox &outbox);
 
     /** The connection to the router broke and could not be renewed: do not wait for its answers. */
-    void peerUnreachable(Millis now, const InstanceId &peer, Outbox &outbox);
+    void markPeerUnreachable(Millis now, const InstanceId &peer, Outbox &outbox);
 
     /** A connection to the router stands again: it may be asked. */
-    void peerReachable(const InstanceId &peer);
+    void markPeerReachable(const InstanceId &peer);
 
-    /** A target's load, needed only for targets in wantsLoads(). */
-    void noteLoad(const TargetId &target, const ReportedLoad &load);
+    /** A target's load, needed only for targets in targetsNeedingLoad(). */
+    void recordLoad(const TargetId &target, const ReportedLoad &load);
 
     /**
      * The targets whose load this router should ask for, as it may have to place requests on them alone: those of
      * owners that cannot be reached, and of owners that have left a question without an answer.
      */
-    std::vector<TargetView> wantsLoads(Millis now) const;
+    std::vector<TargetView> targetsNeedingLoad(Millis now) const;
 
     /** Time-outs and reports. */
     void tick(Millis now, Outbox &outbox);
--- a/sequoiausher/coordination/admission/reservertest.cpp
+++ b/sequoiausher/coordination/admission/reservertest.cpp
@@ -36,7 +36,7 @@
     void learn(const std::vector<InstanceId> &live)
     {
         this->map.setInstances(live);
-        this->reserver.listsChanged(Millis{0}, this->outbox);
+        this->reserver.handleMapChange(Millis{0}, this->outbox);
     }
 
     InstanceId owner() const
@@ -108,7 +108,7 @@
 
 TEST_CASE_FIXTURE(ReserverFixture, "the owner is told the hash of the prefix")
 {
-    Wanted wanted{RequestId{1, 1}, pool, 3, PolicyKind::PrefixRendezvous, 125, {}};
+    PlacementRequest wanted{RequestId{1, 1}, pool, 3, PolicyKind::PrefixRendezvous, 125, {}};
     wanted.prefixHash = 9;
     this->reserver.reserve(Millis{0}, wanted, this->outbox);
     CHECK(this->sent<ReserveRequest>().at(0).prefixHash == 9);
@@ -141,9 +141,9 @@
     // The next request does not wait at all, and with a known load some routers have a place.
     this->reserve(Millis{760}, 2);
     CHECK(this->outcome() == ReserveOutcome::Unreachable);
-    CHECK(this->reserver.wantsLoads(Millis{760}).size() == 2);
+    CHECK(this->reserver.targetsNeedingLoad(Millis{760}).size() == 2);
     for (const TargetId &target : {first, second}) {
-        this->reserver.noteLoad(target, ReportedLoad{1, 40, Millis{700}});
+        this->reserver.recordLoad(target, ReportedLoad{1, 40, Millis{700}});
     }
     this->reserve(Millis{770}, 3);
     CHECK(this->outcome() == ReserveOutcome::GrantedLocally);
@@ -192,7 +192,7 @@
 TEST_CASE_FIXTURE(ReserverFixture, "a broken link does not keep a request waiting")
 {
     this->reserve(Millis{0}, 1);
-    this->reserver.peerUnreachable(Millis{5}, this->owner(), this->outbox);
+    this->reserver.markPeerUnreachable(Millis{5}, this->owner(), this->outbox);
     CHECK(this->outcome() == ReserveOutcome::Unreachable);
     this->reserve(Millis{6}, 2);
     this->map.removePool(pool);
@@ -243,8 +243,8 @@
         this->reserver.tick(now, this->outbox);
     }
     CHECK(this->outcome() == ReserveOutcome::Unreachable);
-    CHECK(now >= ReserverSettings{}.ownerMoveLimit);
-    CHECK(now <= ReserverSettings{}.ownerMoveLimit + Millis{100});
+    CHECK(now >= ReserverSettings{}.redirectTimeout);
+    CHECK(now <= ReserverSettings{}.redirectTimeout + Millis{100});
     CHECK(asked <= 20);
 }
 
@@ -258,7 +258,7 @@
     std::vector<InstanceId> rest = all;
     std::erase(rest, stopped);
     this->learn(rest);
-    this->reserver.peerUnreachable(Millis{10}, stopped, this->outbox);
+    this->reserver.markPeerUnreachable(Millis{10}, stopped, this->outbox);
     this->learn(all);
     this->outbox.clear();
     this->reserve(Millis{20}, 1);
@@ -268,8 +268,8 @@
 
 TEST_CASE_FIXTURE(ReserverFixture, "a router that died and is connected again is asked at once")
 {
-    this->reserver.peerUnreachable(Millis{10}, this->owner(), this->outbox);
-    this->reserver.peerReachable(this->owner());
+    this->reserver.markPeerUnreachable(Millis{10}, this->owner(), this->outbox);
+    this->reserver.markPeerReachable(this->owner());
     this->reserve(Millis{20}, 1);
     CHECK(this->sent<ReserveRequest>().size() == 1);
     CHECK(this->reserver.takeResults().empty());
@@ -281,11 +281,11 @@
     // first requests had been placed without them.
     this->reserve(Millis{0}, 1);
     this->reserver.tick(Millis{100}, this->outbox);
-    CHECK(this->reserver.wantsLoads(Millis{100}).empty());
+    CHECK(this->reserver.targetsNeedingLoad(Millis{100}).empty());
     this->reserver.tick(Millis{250}, this->outbox);
-    CHECK(this->reserver.wantsLoads(Millis{250}).size() == 2);
+    CHECK(this->reserver.targetsNeedingLoad(Millis{250}).size() == 2);
     for (const TargetId &target : {first, second}) {
-        this->reserver.noteLoad(target, ReportedLoad{1, 40, Millis{300}});
+        this->reserver.recordLoad(target, ReportedLoad{1, 40, Millis{300}});
     }
     this->reserver.tick(Millis{500}, this->outbox);
     this->reserver.tick(Millis{750}, this->outbox);
@@ -294,7 +294,7 @@
 
 TEST_CASE_FIXTURE(ReserverFixture, "a reservation tells its class and organisation")
 {
-    Wanted wanted{RequestId{1, 1}, pool, 3};
+    PlacementRequest wanted{RequestId{1, 1}, pool, 3};
     wanted.requestClass = RequestClass::Urgent;
     wanted.organisation = 77;
     this->reserver.reserve(Millis{0}, wanted, this->outbox);
@@ -307,7 +307,7 @@
 // then it gets a place. Cause: only those that wait at the router were checked.
 TEST_CASE_FIXTURE(ReserverFixture, "a reservation is given up when its time is over, and its place with it")
 {
-    Wanted wanted{RequestId{1, 1}, pool, 3};
+    PlacementRequest wanted{RequestId{1, 1}, pool, 3};
     wanted.giveUpAt = Millis{60};
     this->reserver.reserve(Millis{0}, wanted, this->outbox);
     const RequestId reservation = this->sent<ReserveRequest>().at(0).request;
--- a/sequoiausher/coordination/admission/shardmap.cpp
+++ b/sequoiausher/coordination/admission/shardmap.cpp
@@ -25,7 +25,7 @@
     return static_cast<std::uint32_t>(bucket);
 }
 
-struct CutPool
+struct ShardedPool
 {
     std::shared_ptr<const PoolView> view;
     std::uint32_t shards = 0;
@@ -38,16 +38,16 @@
 class ShardMap::Private
 {
 public:
-    bool isOverfull(const ShardId &shard) const;
+    bool isOverloaded(const ShardId &shard) const;
 
     ShardSettings settings;
     std::vector<InstanceId> instances;
     std::vector<std::uint64_t> instanceHashes;
-    std::map<PoolId, CutPool> pools;
+    std::map<PoolId, ShardedPool> pools;
     std::map<ShardId, ShardSum> sums;
 };
 
-bool ShardMap::Private::isOverfull(const ShardId &shard) const
+bool ShardMap::Private::isOverloaded(const ShardId &shard) const
 {
     const auto own = this->sums.find(shard);
     if (own == this->sums.end() || own->second.targets == 0) {
@@ -91,16 +91,16 @@
 
 void ShardMap::setPool(const std::shared_ptr<const PoolView> &view)
 {
-    CutPool cut{view, 0, {}};
+    ShardedPool sharded{view, 0, {}};
     const auto listed = static_cast<std::uint32_t>(view->targets.size());
-    cut.shards = std::max((listed + this->d->settings.targetsPerShard - 1) / this->d->settings.targetsPerShard,
-                          std::uint32_t{1});
+    sharded.shards = std::max((listed + this->d->settings.targetsPerShard - 1) / this->d->settings.targetsPerShard,
+                              std::uint32_t{1});
     for (const TargetView &target : view->targets) {
-        cut.shardOf.push_back(jumpHash(target.hash, cut.shards));
+        sharded.shardOf.push_back(jumpHash(target.hash, sharded.shards));
     }
-    this->d->sums.erase(this->d->sums.lower_bound(ShardId{view->pool, cut.shards}),
+    this->d->sums.erase(this->d->sums.lower_bound(ShardId{view->pool, sharded.shards}),
                         this->d->sums.upper_bound(ShardId{view->pool, UINT32_MAX}));
-    this->d->pools[view->pool] = std::move(cut);
+    this->d->pools[view->pool] = std::move(sharded);
 }
 
 void ShardMap::removePool(const PoolId &pool)
@@ -110,7 +110,7 @@
                         this->d->sums.upper_bound(ShardId{pool, UINT32_MAX}));
 }
 
-void ShardMap::noteSum(const ShardSum &sum)
+void ShardMap::recordSum(const ShardSum &sum)
 {
     if (sum.shard < this->shardCount(sum.pool)) {
         this->d->sums[ShardId{sum.pool, sum.shard}] = sum;
@@ -125,8 +125,8 @@
 
 std::uint32_t ShardMap::shardCount(const PoolId &pool) const
 {
-    const auto cut = this->d->pools.find(pool);
-    return cut == this->d->pools.end() ? 0 : cut->second.shards;
+    const auto sharded = this->d->pools.find(pool);
+    return sharded == this->d->pools.end() ? 0 : sharded->second.shards;
 }
 
 std::uint32_t ShardMap::shardOfTarget(const PoolId &pool, const TargetId &target) const
@@ -148,13 +148,13 @@
 std::vector<TargetView> ShardMap::targetsOf(const ShardId &shard) const
 {
     std::vector<TargetView> targets;
-    const auto cut = this->d->pools.find(shard.pool);
-    if (cut == this->d->pools.end()) {
+    const auto sharded = this->d->pools.find(shard.pool);
+    if (sharded == this->d->pools.end()) {
         return targets;
     }
-    for (std::size_t i = 0; i < cut->second.shardOf.size(); ++i) {
-        if (cut->second.shardOf[i] == shard.shard) {
-            targets.push_back(cut->second.view->targets[i]);
+    for (std::size_t i = 0; i < sharded->second.shardOf.size(); ++i) {
+        if (sharded->second.shardOf[i] == shard.shard) {
+            targets.push_back(sharded->second.view->targets[i]);
         }
     }
     return targets;
@@ -173,13 +173,13 @@
     if (found == this->d->pools.end()) {
         return std::nullopt;
     }
-    const CutPool &cut = found->second;
+    const ShardedPool &sharded = found->second;
     // The best weight of each shard; the shard of the best target comes first, the next shard second.
-    std::vector<std::optional<std::uint64_t>> weights(cut.shards);
-    for (std::size_t i = 0; i < cut.shardOf.size(); ++i) {
-        if (cut.view->targets[i].description.life.state == LifeState::Live) {
-            const std::uint64_t weight = rendezvousWeight(cut.view->targets[i].hash, chatHash);
-            std::optional<std::uint64_t> &known = weights[cut.shardOf[i]];
+    std::vector<std::optional<std::uint64_t>> weights(sharded.shards);
+    for (std::size_t i = 0; i < sharded.shardOf.size(); ++i) {
+        if (sharded.view->targets[i].description.life.state == LifeState::Live) {
+            const std::uint64_t weight = rendezvousWeight(sharded.view->targets[i].hash, chatHash);
+            std::optional<std::uint64_t> &known = weights[sharded.shardOf[i]];
             known = std::max(known.value_or(0), weight);
         }
     }
@@ -188,11 +188,11 @@
         return std::nullopt;
     }
     ShardId shard{pool, static_cast<std::uint32_t>(first - weights.begin())};
-    if (this->d->isOverfull(shard)) {
+    if (this->d->isOverloaded(shard)) {
         first->reset();
         const auto second = std::max_element(weights.begin(), weights.end());
         const ShardId other{pool, static_cast<std::uint32_t>(second - weights.begin())};
-        if (second->has_value() && !this->d->isOverfull(other)) {
+        if (second->has_value() && !this->d->isOverloaded(other)) {
             shard = other;
         }
     }
--- a/sequoiausher/coordination/admission/shardmap.h
+++ b/sequoiausher/coordination/admission/shardmap.h
@@ -67,7 +67,7 @@
     void removePool(const PoolId &pool);
 
     /** What an owner said on a heartbeat. */
-    void noteSum(const ShardSum &sum);
+    void recordSum(const ShardSum &sum);
     /** The last sum heard of the shard, or none. */
     std::optional<ShardSum> sum(const ShardId &shard) const;
 
--- a/sequoiausher/coordination/admission/shardmaptest.cpp
+++ b/sequoiausher/coordination/admission/shardmaptest.cpp
@@ -71,14 +71,14 @@
     map.setPool(viewOf(64));
     const std::uint32_t first = map.routeOf(pool, 5)->shard.shard;
     for (const ShardId &shard : map.shards()) {
-        map.noteSum(ShardSum{pool, shard.shard, 160, 16});
+        map.recordSum(ShardSum{pool, shard.shard, 160, 16});
     }
     CHECK(map.routeOf(pool, 5)->shard.shard == first);
-    map.noteSum(ShardSum{pool, first, 260, 16});
+    map.recordSum(ShardSum{pool, first, 260, 16});
     const std::uint32_t second = map.routeOf(pool, 5)->shard.shard;
     CHECK(second != first);
-    map.noteSum(ShardSum{pool, first, 165, 16});
+    map.recordSum(ShardSum{pool, first, 165, 16});
     CHECK(map.routeOf(pool, 5)->shard.shard == first);
-    map.noteSum(ShardSum{pool, 99, 1, 1});
+    map.recordSum(ShardSum{pool, 99, 1, 1});
     CHECK_FALSE(map.sum({pool, 99}).has_value());
 }
--- a/sequoiausher/coordination/admission/shardowner.cpp
+++ b/sequoiausher/coordination/admission/shardowner.cpp
@@ -20,9 +20,9 @@
 namespace {
 
 // 17 million chats on 625 shards are 27,000 for each.
-constexpr std::size_t chatsRemembered = 32768;
+constexpr std::size_t maxRecentChats = 32768;
 
-struct Held
+struct CountedReservation
 {
     InstanceId entry;
     TargetId target;
@@ -33,12 +33,12 @@
 struct EntryState
 {
     std::uint64_t lastSequence = 0;
-    Millis heardAt;
-    bool announced = false;
+    Millis lastSeenAt;
+    bool hasReported = false;
     std::unordered_set<RequestId> held;
 };
 
-struct Cell
+struct TargetState
 {
     TargetId target;
     LifeState state = LifeState::Live;
@@ -47,9 +47,9 @@
 };
 
 /** What a round over the waiting reservations found to be full: this class and those below it, up to this bound. */
-struct FullFor
+struct FullThreshold
 {
-    std::optional<RequestClass> placeClass;
+    std::optional<RequestClass> effectiveClass;
     std::uint32_t boundPercent = 0;
 };
 
@@ -58,25 +58,25 @@
 class ShardOwner::Private
 {
 public:
-    explicit Private(const OwnerSettings &given) : settings(given), waiting(given.mostWaiting)
+    explicit Private(const OwnerSettings &given) : settings(given), waiting(given.maxWaiting)
     {
     }
 
-    Cell *find(const TargetId &target);
-    std::uint32_t estimate(const Cell &cell, Millis now) const;
+    TargetState *find(const TargetId &target);
+    std::uint32_t estimate(const TargetState &targetState, Millis now) const;
     void refreshLoad(Millis now);
     std::uint64_t suspectedLoad(Millis now) const;
-    EntryState &heard(Millis now, const InstanceId &entry);
+    EntryState &recordContact(Millis now, const InstanceId &entry);
     std::uint64_t bound(std::uint32_t percent) const;
     void applyLimits(const ReserveRequest &message);
-    bool mayBeUsed(const Cell &cell, const ReserveRequest &message) const;
-    RequestClass placeClass(const ReserveRequest &message) const;
-    bool grantWaiting(Millis now, const WaitingReservation &waitingOne, FullFor &full, Outbox &outbox);
+    bool isUsable(const TargetState &targetState, const ReserveRequest &message) const;
+    RequestClass effectiveClass(const ReserveRequest &message) const;
+    bool grantWaiting(Millis now, const WaitingReservation &waitingReservation, FullThreshold &full, Outbox &outbox);
     void refuseWaiting(Millis now, const WaitingReservation &refused, Millis retryAfter, Outbox &outbox);
-    void hold(const RequestId &request, const Held &holding);
-    TargetId letGo(const RequestId &request);
-    void forget(const RequestId &request);
-    bool settled(Millis now) const;
+    void countReservation(const RequestId &request, const CountedReservation &reservation);
+    TargetId removeReservation(const RequestId &request);
+    void discardReservation(const RequestId &request);
+    bool isSettled(Millis now) const;
     ReserveReply decide(Millis now, const InstanceId &from, const ReserveRequest &message);
     Policy &policy(PolicyKind kind);
 
@@ -84,18 +84,18 @@
     OwnerSettings settings;
     std::uint64_t seed = 0;
     Millis createdAt;
-    std::vector<Cell> cells;
-    std::unordered_map<TargetId, std::size_t> cellOf;
-    /** Parallel to cells; filled anew for each choice, kept to spare the allocations. */
+    std::vector<TargetState> targetStates;
+    std::unordered_map<TargetId, std::size_t> indexOfTarget;
+    /** Parallel to targetStates; filled anew for each choice, kept to spare the allocations. */
     PoolLoad load;
     /** The sum of what each live target may carry at most, where load.total is the likely one. */
-    std::uint64_t highTotal = 0;
+    std::uint64_t maxLoadTotal = 0;
     /** By heartbeats; no targets where the shard is the whole pool. */
     std::uint64_t poolTotal = 0;
     std::uint64_t poolTargets = 0;
-    std::unordered_map<RequestId, Held> held;
+    std::unordered_map<RequestId, CountedReservation> held;
     std::map<InstanceId, EntryState> entries;
-    std::vector<InstanceId> awaited;
+    std::vector<InstanceId> awaitedEntries;
     /** Until when each entry whose connection broke is taken for dead in the mean. */
     std::map<InstanceId, Millis> suspectedUntil;
     bool entriesKnown = false;
@@ -112,51 +112,51 @@
     OrganisationShares shares;
     /** What the live targets take at a time, without those that do not say. */
     std::uint64_t capacity = 0;
-    RecentChats chats{chatsRemembered};
+    RecentChats chats{maxRecentChats};
 };
 
-Cell *ShardOwner::Private::find(const TargetId &target)
+TargetState *ShardOwner::Private::find(const TargetId &target)
 {
-    const auto index = this->cellOf.find(target);
-    return index == this->cellOf.end() ? nullptr : &this->cells[index->second];
+    const auto index = this->indexOfTarget.find(target);
+    return index == this->indexOfTarget.end() ? nullptr : &this->targetStates[index->second];
 }
 
-bool ShardOwner::Private::settled(Millis now) const
+bool ShardOwner::Private::isSettled(Millis now) const
 {
-    return now >= this->createdAt + this->settings.settleTime || (this->entriesKnown && this->awaited.empty());
+    return now >= this->createdAt + this->settings.settleTime || (this->entriesKnown && this->awaitedEntries.empty());
 }
 
-std::uint32_t ShardOwner::Private::estimate(const Cell &cell, Millis now) const
+std::uint32_t ShardOwner::Private::estimate(const TargetState &targetState, Millis now) const
 {
     // Measured before this router took over, a report cannot be told apart from what ended or began since; once all
     // entries have spoken, the counts alone are better.
-    const Millis oldest = now - this->settings.reportLife;
-    return cell.count.estimate(this->settled(now) ? std::max(oldest, this->createdAt) : oldest);
+    const Millis oldest = now - this->settings.reportedLoadTtl;
+    return targetState.count.estimate(this->isSettled(now) ? std::max(oldest, this->createdAt) : oldest);
 }
 
 void ShardOwner::Private::refreshLoad(Millis now)
 {
     this->load.total = 0;
-    this->highTotal = 0;
+    this->maxLoadTotal = 0;
     this->load.counted = 0;
     this->capacity = 0;
-    for (std::size_t i = 0; i < this->cells.size(); ++i) {
-        const Cell &cell = this->cells[i];
+    for (std::size_t i = 0; i < this->targetStates.size(); ++i) {
+        const TargetState &targetState = this->targetStates[i];
         TargetLoad &seen = this->load.targets[i];
-        const std::uint32_t estimated = this->estimate(cell, now);
+        const std::uint32_t estimated = this->estimate(targetState, now);
         // What is counted may be on its way to the target, so a lower report takes nothing off.
-        seen.inFlight = std::max(cell.count.counted(), estimated);
-        seen.reported = cell.count.reported();
-        if (cell.state == LifeState::Live) {
+        seen.inFlight = std::max(targetState.count.counted(), estimated);
+        seen.reported = targetState.count.reported();
+        if (targetState.state == LifeState::Live) {
             this->load.total += estimated;
-            this->highTotal += seen.inFlight;
+            this->maxLoadTotal += seen.inFlight;
             this->load.counted += 1;
-            this->capacity += cell.capacity.value_or(0);
+            this->capacity += targetState.capacity.value_or(0);
         }
     }
     this->load.total -= std::min(this->load.total, this->suspectedLoad(now));
     // The mean of the high counts, so that some target has room whatever the reports say.
-    this->load.lowestBound = loadBound(minimumBoundPercent, this->highTotal, this->load.counted);
+    this->load.lowestBound = loadBound(minimumBoundPercent, this->maxLoadTotal, this->load.counted);
 }
 
 // What goes wrong: an entry dies, all its streams end together, and the reports that tell it lag by up to a second.
@@ -173,67 +173,69 @@
     return holdings;
 }
 
-EntryState &ShardOwner::Private::heard(Millis now, const InstanceId &entry)
+EntryState &ShardOwner::Private::recordContact(Millis now, const InstanceId &entry)
 {
     this->suspectedUntil.erase(entry);
     EntryState &state = this->entries[entry];
-    state.heardAt = now;
+    state.lastSeenAt = now;
     return state;
 }
 
-bool ShardOwner::Private::mayBeUsed(const Cell &cell, const ReserveRequest &message) const
+bool ShardOwner::Private::isUsable(const TargetState &targetState, const ReserveRequest &message) const
 {
     const auto &excluded = message.excluded;
-    return cell.state == LifeState::Live && std::find(excluded.begin(), excluded.end(), cell.target) == excluded.end();
+    return targetState.state == LifeState::Live
+        && std::find(excluded.begin(), excluded.end(), targetState.target) == excluded.end();
 }
 
 std::uint64_t ShardOwner::Private::bound(std::uint32_t percent) const
 {
     // A release under way makes the total one too high, so the new request itself is not added to it.
-    std::uint64_t most = loadBound(percent, std::max(this->load.total, std::uint64_t{1}) - 1, this->load.counted);
+    std::uint64_t limit = loadBound(percent, std::max(this->load.total, std::uint64_t{1}) - 1, this->load.counted);
     if (this->poolTargets > 0) {
-        most = std::min(most, loadBound(percent, this->poolTotal, this->poolTargets));
+        limit = std::min(limit, loadBound(percent, this->poolTotal, this->poolTargets));
     }
-    return std::max(most, this->load.lowestBound);
+    return std::max(limit, this->load.lowestBound);
 }
 
 /** The class by which places are kept from the request. */
-RequestClass ShardOwner::Private::placeClass(const ReserveRequest &message) const
+RequestClass ShardOwner::Private::effectiveClass(const ReserveRequest &message) const
 {
     if (message.requestClass != RequestClass::Interactive) {
         return message.requestClass;
     }
-    if (this->shares.isAbove(message.organisation, this->capacity)) {
+    if (this->shares.isAboveShare(message.organisation, this->capacity)) {
         return RequestClass::Background;
     }
     // What is above is held off by more places than are kept from interactive requests, so those of the quiet ones
     // need not be held off as well.
-    const bool isQuiet = this->shares.isBelow(message.organisation, this->capacity);
-    return isQuiet && this->shares.isAnyAbove(this->capacity) ? RequestClass::Urgent : RequestClass::Interactive;
+    const bool isQuiet = this->shares.isBelowShare(message.organisation, this->capacity);
+    return isQuiet && this->shares.isAnyAboveShare(this->capacity) ? RequestClass::Urgent : RequestClass::Interactive;
 }
 
 void ShardOwner::Private::applyLimits(const ReserveRequest &message)
 {
-    const RequestClass placeClass = this->placeClass(message);
+    const RequestClass effectiveClass = this->effectiveClass(message);
     const std::uint64_t bound = this->bound(message.boundPercent);
-    for (std::size_t i = 0; i < this->cells.size(); ++i) {
-        const Cell &cell = this->cells[i];
+    for (std::size_t i = 0; i < this->targetStates.size(); ++i) {
+        const TargetState &targetState = this->targetStates[i];
         TargetLoad &seen = this->load.targets[i];
-        const bool hasPlace = !cell.capacity || seen.inFlight + keptPlaces(placeClass, *cell.capacity) < *cell.capacity;
+        const bool hasPlace = !targetState.capacity
+            || seen.inFlight + keptPlaces(effectiveClass, *targetState.capacity) < *targetState.capacity;
         const bool hasRoom = seen.inFlight < bound && hasPlace;
-        seen.usable = hasRoom && this->mayBeUsed(cell, message);
+        seen.usable = hasRoom && this->isUsable(targetState, message);
     }
 }
 
-void ShardOwner::Private::hold(const RequestId &request, const Held &holding)
+void ShardOwner::Private::countReservation(const RequestId &request, const CountedReservation &reservation)
 {
-    this->held[request] = holding;
-    this->entries[holding.entry].held.insert(request);
-    this->shares.add(holding.organisation);
+    this->held[request] = reservation;
+    this->entries[reservation.entry].held.insert(request);
+    this->shares.add(reservation.organisation);
 }
 
 /** @return the target that the request was on, empty where it is not held. */
-TargetId ShardOwner::Private::letGo(const RequestId &request)
+TargetId ShardOwner::Private::removeReservation(const RequestId &request)
 {
     const auto entry = this->held.find(request);
     if (entry == this->held.end()) {
@@ -247,10 +249,10 @@
 }
 
 /** No longer counts a request that this owner should not have counted, or no longer can. */
-void ShardOwner::Private::forget(const RequestId &request)
+void ShardOwner::Private::discardReservation(const RequestId &request)
 {
-    if (Cell *cell = this->find(this->letGo(request))) {
-        cell->count.learn(-1);
+    if (TargetState *targetState = this->find(this->removeReservation(request))) {
+        targetState->count.adjustCounted(-1);
     }
 }
 
@@ -265,58 +267,61 @@
 
 ReserveReply ShardOwner::Private::decide(Millis now, const InstanceId &from, const ReserveRequest &message)
 {
-    const auto usable = [&](const Cell &cell) { return this->mayBeUsed(cell, message); };
-    if (std::none_of(this->cells.begin(), this->cells.end(), usable)) {
+    const auto usable = [&](const TargetState &targetState) { return this->isUsable(targetState, message); };
+    if (std::none_of(this->targetStates.begin(), this->targetStates.end(), usable)) {
         return ReserveReply{message.request, ReserveVerdict::NoTarget, TargetId{}, this->settings.retryAfter};
     }
     this->refreshLoad(now);
     this->applyLimits(message);
     Choice choice{message.chatHash, message.boundPercent, std::nullopt, false, message.prefixHash};
     if (const TargetId *last = this->chats.find(message.chatHash)) {
-        const auto index = this->cellOf.find(*last);
-        choice.last = index == this->cellOf.end() ? std::nullopt : std::optional(index->second);
+        const auto index = this->indexOfTarget.find(*last);
+        choice.last = index == this->indexOfTarget.end() ? std::nullopt : std::optional(index->second);
     } else {
-        choice.isNew = now >= this->createdAt + this->settings.chatsLearntAfter;
+        choice.isNew = now >= this->createdAt + this->settings.chatWarmupTime;
     }
     const std::optional<std::size_t> chosen = this->policy(message.policy).choose(this->load, choice);
     if (!chosen) {
         return ReserveReply{message.request, ReserveVerdict::Full, TargetId{}, this->settings.retryAfter};
     }
-    const TargetId &target = this->cells[*chosen].target;
-    this->hold(message.request, Held{from, target, now, message.organisation});
-    this->cells[*chosen].count.change(now, 1);
-    this->chats.placed(message.chatHash, target);
+    const TargetId &target = this->targetStates[*chosen].target;
+    this->countReservation(message.request, CountedReservation{from, target, now, message.organisation});
+    this->targetStates[*chosen].count.change(now, 1);
+    this->chats.recordPlacement(message.chatHash, target);
     return ReserveReply{message.request, ReserveVerdict::Granted, target, Millis{}};
 }
 
 /** @return whether it was answered. */
-bool ShardOwner::Private::grantWaiting(Millis now, const WaitingReservation &waitingOne, FullFor &full, Outbox &outbox)
+bool ShardOwner::Private::grantWaiting(Millis now,
+                                       const WaitingReservation &waitingReservation,
+                                       FullThreshold &full,
+                                       Outbox &outbox)
 {
-    const ReserveRequest &message = waitingOne.message;
-    const RequestClass placeClass = this->placeClass(message);
+    const ReserveRequest &message = waitingReservation.message;
+    const RequestClass effectiveClass = this->effectiveClass(message);
     // Goes wrong otherwise: each release of a full shard would look at all its targets once for each that waits.
-    if (full.placeClass && placeClass >= *full.placeClass && message.boundPercent <= full.boundPercent) {
+    if (full.effectiveClass && effectiveClass >= *full.effectiveClass && message.boundPercent <= full.boundPercent) {
         return false;
     }
-    const ReserveReply reply = this->decide(now, waitingOne.from, message);
+    const ReserveReply reply = this->decide(now, waitingReservation.from, message);
     if (reply.verdict == ReserveVerdict::Full) {
         if (message.excluded.empty()) {
-            full = FullFor{placeClass, message.boundPercent};
+            full = FullThreshold{effectiveClass, message.boundPercent};
         }
         return false;
     }
-    outbox.push_back({waitingOne.from, reply});
+    outbox.push_back({waitingReservation.from, reply});
     return true;
 }
 
 void ShardOwner::Private::refuseWaiting(Millis now,
-                                        const WaitingReservation &refusedOne,
+                                        const WaitingReservation &refusedReservation,
                                         Millis retryAfter,
                                         Outbox &outbox)
 {
-    const RequestId &request = refusedOne.message.request;
+    const RequestId &request = refusedReservation.message.request;
     this->refused.add(now, request);
-    outbox.push_back({refusedOne.from, ReserveReply{request, ReserveVerdict::Full, TargetId{}, retryAfter}});
+    outbox.push_back({refusedReservation.from, ReserveReply{request, ReserveVerdict::Full, TargetId{}, retryAfter}});
 }
 
 ShardOwner::ShardOwner(const ShardId &shard, const OwnerSettings &settings, std::uint64_t seed, Millis now)
@@ -346,51 +351,51 @@
 
 void ShardOwner::setTargets(Millis now, const std::vector<TargetView> &targets)
 {
-    const std::vector<Cell> before = std::move(this->d->cells);
-    const std::unordered_map<TargetId, std::size_t> indexBefore = std::move(this->d->cellOf);
-    this->d->cells.clear();
-    this->d->cellOf.clear();
+    const std::vector<TargetState> before = std::move(this->d->targetStates);
+    const std::unordered_map<TargetId, std::size_t> indexBefore = std::move(this->d->indexOfTarget);
+    this->d->targetStates.clear();
+    this->d->indexOfTarget.clear();
     this->d->load.targets.clear();
     for (const TargetView &target : targets) {
         const TargetId &name = target.description.target;
-        Cell cell;
+        TargetState targetState;
         const auto known = indexBefore.find(name);
         if (known != indexBefore.end()) {
-            cell = before[known->second];
+            targetState = before[known->second];
         } else {
-            cell.count = TargetCount(now);
+            targetState.count = TargetCount(now);
         }
-        cell.target = name;
-        cell.state = target.description.life.state;
-        cell.capacity = target.description.capacity;
-        this->d->cellOf[name] = this->d->cells.size();
-        this->d->cells.push_back(cell);
+        targetState.target = name;
+        targetState.state = target.description.life.state;
+        targetState.capacity = target.description.capacity;
+        this->d->indexOfTarget[name] = this->d->targetStates.size();
+        this->d->targetStates.push_back(targetState);
         this->d->load.targets.push_back(TargetLoad{name, target.hash, 0, 0, true});
     }
     for (const auto &entry : this->d->held) {
         // Held already on a target that comes back to this shard.
-        Cell *cell = this->d->find(entry.second.target);
-        if (cell != nullptr && !indexBefore.contains(entry.second.target)) {
-            cell->count.learn(1);
+        TargetState *targetState = this->d->find(entry.second.target);
+        if (targetState != nullptr && !indexBefore.contains(entry.second.target)) {
+            targetState->count.adjustCounted(1);
         }
     }
 }
 
 void ShardOwner::setEntries(const std::vector<InstanceId> &entries)
 {
-    std::vector<InstanceId> awaited;
-    for (const InstanceId &entry : this->d->entriesKnown ? this->d->awaited : entries) {
+    std::vector<InstanceId> awaitedEntries;
+    for (const InstanceId &entry : this->d->entriesKnown ? this->d->awaitedEntries : entries) {
         const auto known = this->d->entries.find(entry);
-        const bool announced = known != this->d->entries.end() && known->second.announced;
-        if (!announced && std::find(entries.begin(), entries.end(), entry) != entries.end()) {
-            awaited.push_back(entry);
+        const bool hasReported = known != this->d->entries.end() && known->second.hasReported;
+        if (!hasReported && std::find(entries.begin(), entries.end(), entry) != entries.end()) {
+            awaitedEntries.push_back(entry);
         }
     }
-    this->d->awaited = std::move(awaited);
+    this->d->awaitedEntries = std::move(awaitedEntries);
     this->d->entriesKnown = true;
 }
 
-void ShardOwner::notePool(std::uint64_t total, std::uint64_t targets)
+void ShardOwner::setPoolLoad(std::uint64_t total, std::uint64_t targets)
 {
     this->d->poolTotal = total;
     this->d->poolTargets = targets;
@@ -407,7 +412,7 @@
     for (const RequestId &request : lost) {
         // Goes wrong if this counted as a release: a target may run the dead entry's streams until it notices the
         // broken connections, and would be given others on top. Its next report tells.
-        this->d->forget(request);
+        this->d->discardReservation(request);
     }
     this->d->entries.erase(entry);
 }
@@ -419,8 +424,8 @@
 
 void ShardOwner::reportLoad(const TargetId &target, std::uint32_t load, Millis measuredAt)
 {
-    if (Cell *cell = this->d->find(target)) {
-        cell->count.report(load, measuredAt);
+    if (TargetState *targetState = this->d->find(target)) {
+        targetState->count.report(load, measuredAt);
     }
 }
 
@@ -430,15 +435,15 @@
     if (this->d->released.contains(message.request)) {
         return;
     }
-    this->d->heard(now, from);
+    this->d->recordContact(now, from);
     const auto known = this->d->held.find(message.request);
     if (known != this->d->held.end()) {
         outbox.push_back({from, ReserveReply{message.request, ReserveVerdict::Granted, known->second.target, {}}});
         return;
     }
-    const WaitingReservation waitingOne{from, message, now + this->d->settings.waitingLife};
+    const WaitingReservation waitingReservation{from, message, now + this->d->settings.maxWaitTime};
     if (this->d->refused.contains(message.request)) {
-        this->d->refuseWaiting(now, waitingOne, this->d->settings.retryAfterWaiting, outbox);
+        this->d->refuseWaiting(now, waitingReservation, this->d->settings.retryAfterWaiting, outbox);
         return;
     }
     if (this->d->waiting.contains(message.request)) {
@@ -446,11 +451,11 @@
     }
     this->serveWaiting(now, outbox);
     const ReserveReply reply = this->d->decide(now, from, message);
-    if (reply.verdict != ReserveVerdict::Full || this->d->settings.waitingLife == Millis{0}) {
+    if (reply.verdict != ReserveVerdict::Full || this->d->settings.maxWaitTime == Millis{0}) {
         outbox.push_back({from, reply});
         return;
     }
-    for (const WaitingReservation &shed : this->d->waiting.add(waitingOne)) {
+    for (const WaitingReservation &shed : this->d->waiting.add(waitingReservation)) {
         this->d->refuseWaiting(now, shed, this->d->settings.retryAfter, outbox);
     }
 }
@@ -460,9 +465,10 @@
     if (this->d->waiting.size() == 0) {
         return;
     }
-    FullFor full;
-    this->d->waiting.serve(
-        [&](const WaitingReservation &waitingOne) { return this->d->grantWaiting(now, waitingOne, full, outbox); });
+    FullThreshold full;
+    this->d->waiting.serve([&](const WaitingReservation &waitingReservation) {
+        return this->d->grantWaiting(now, waitingReservation, full, outbox);
+    });
     for (const WaitingReservation &late : this->d->waiting.takeExpired(now)) {
         this->d->refuseWaiting(now, late, this->d->settings.retryAfterWaiting, outbox);
     }
@@ -470,10 +476,10 @@
 
 void ShardOwner::receive(Millis now, const InstanceId &from, const Release &message)
 {
-    this->d->heard(now, from);
+    this->d->recordContact(now, from);
     this->d->waiting.remove(message.request);
-    if (Cell *cell = this->d->find(this->d->letGo(message.request))) {
-        cell->count.change(now, -1);
+    if (TargetState *targetState = this->d->find(this->d->removeReservation(message.request))) {
+        targetState->count.change(now, -1);
     }
     if (this->d->released.insert(message.request).second) {
         this->d->releasedOrder.emplace_back(now, message.request);
@@ -487,27 +493,27 @@
         return;
     }
     entry.lastSequence = message.sequence;
-    this->d->heard(now, from);
-    entry.announced = true;
-    std::erase(this->d->awaited, from);
-    std::unordered_set<RequestId> named;
+    this->d->recordContact(now, from);
+    entry.hasReported = true;
+    std::erase(this->d->awaitedEntries, from);
+    std::unordered_set<RequestId> reportedRequests;
     for (const Holding &holding : message.holdings) {
-        named.insert(holding.request);
+        reportedRequests.insert(holding.request);
     }
     const std::vector<RequestId> before(entry.held.begin(), entry.held.end());
     for (const RequestId &request : before) {
         const bool young = now < this->d->held.at(request).since + this->d->settings.reportGrace;
-        if (!named.contains(request) && !young) {
-            this->d->forget(request);
+        if (!reportedRequests.contains(request) && !young) {
+            this->d->discardReservation(request);
         }
     }
     for (const Holding &holding : message.holdings) {
         // Without a target the entry has asked and waits for the answer: known or not, there is nothing to add.
         const bool isCountable = !holding.target.empty() && !this->d->released.contains(holding.request);
         if (isCountable && !this->d->held.contains(holding.request)) {
-            this->d->hold(holding.request, Held{from, holding.target, now});
-            if (Cell *cell = this->d->find(holding.target)) {
-                cell->count.learn(1);
+            this->d->countReservation(holding.request, CountedReservation{from, holding.target, now});
+            if (TargetState *targetState = this->d->find(holding.target)) {
+                targetState->count.adjustCounted(1);
             }
         }
     }
@@ -519,7 +525,7 @@
     if (message.sequence <= entry.lastSequence) {
         return false;
     }
-    this->d->heard(now, from);
+    this->d->recordContact(now, from);
     HoldingSet counted;
     for (const RequestId &request : entry.held) {
         counted.add(request);
@@ -528,8 +534,8 @@
         return true;
     }
     entry.lastSequence = message.sequence;
-    entry.announced = true;
-    std::erase(this->d->awaited, from);
+    entry.hasReported = true;
+    std::erase(this->d->awaitedEntries, from);
     return false;
 }
 
@@ -537,7 +543,7 @@
 {
     std::vector<InstanceId> silent;
     for (const auto &entry : this->d->entries) {
-        if (!entry.second.held.empty() && now >= entry.second.heardAt + this->d->settings.entrySilence) {
+        if (!entry.second.held.empty() && now >= entry.second.lastSeenAt + this->d->settings.entryTimeout) {
             silent.push_back(entry.first);
         }
     }
@@ -545,25 +551,25 @@
         this->dropEntry(entry);
     }
     std::erase_if(this->d->suspectedUntil, [now](const auto &entry) { return now >= entry.second; });
-    this->d->refused.forgetUntil(now - this->d->settings.refusalMemory);
+    this->d->refused.forgetUntil(now - this->d->settings.refusalTtl);
     std::deque<std::pair<Millis, RequestId>> &order = this->d->releasedOrder;
-    while (!order.empty() && now >= order.front().first + this->d->settings.releaseMemory) {
+    while (!order.empty() && now >= order.front().first + this->d->settings.releaseTtl) {
         this->d->released.erase(order.front().second);
         order.pop_front();
     }
 }
 
-bool ShardOwner::settled(Millis now) const
+bool ShardOwner::isSettled(Millis now) const
 {
-    return this->d->settled(now);
+    return this->d->isSettled(now);
 }
 
 ShardSum ShardOwner::sum(Millis now) const
 {
     ShardSum sum{this->d->shard.pool, this->d->shard.shard, 0, 0};
-    for (const Cell &cell : this->d->cells) {
-        if (cell.state == LifeState::Live) {
-            sum.inFlight += this->d->estimate(cell, now);
+    for (const TargetState &targetState : this->d->targetStates) {
+        if (targetState.state == LifeState::Live) {
+            sum.inFlight += this->d->estimate(targetState, now);
             sum.targets += 1;
         }
     }
@@ -572,8 +578,8 @@
 
 std::uint32_t ShardOwner::counted(const TargetId &target) const
 {
-    const Cell *cell = this->d->find(target);
-    return cell == nullptr ? 0 : cell->count.counted();
+    const TargetState *targetState = this->d->find(target);
+    return targetState == nullptr ? 0 : targetState->count.counted();
 }
 
 std::size_t ShardOwner::waiting() const
--- a/sequoiausher/coordination/admission/shardowner.h
+++ b/sequoiausher/coordination/admission/shardowner.h
@@ -23,17 +23,17 @@
 struct OwnerSettings
 {
     /** An entry that holds something and says nothing for this long is taken for dead. Three report intervals. */
-    Millis entrySilence{15000};
+    Millis entryTimeout{15000};
     /** A new owner trusts its counts after this long, though not every entry has reported. */
     Millis settleTime{10000};
     /** Reported loads older than this say nothing. */
-    Millis reportLife{3000};
+    Millis reportedLoadTtl{3000};
     /** A grant younger than this survives a report without it: the report may have been sent before. */
     Millis reportGrace{2000};
     /** How long a release is remembered for a reservation that arrives after it. */
-    Millis releaseMemory{30000};
+    Millis releaseTtl{30000};
     /** A chat not seen before is taken for new only after this long: a new owner knows no chats. */
-    Millis chatsLearntAfter{60000};
+    Millis chatWarmupTime{60000};
     /**
      * How long what an entry holds is out of the mean after its connection broke: the targets' reports tell by then
      * what became of its streams.
@@ -45,11 +45,11 @@
      * How long a reservation that finds no room waits for a place before it hears so; 0: it hears so at once. Well
      * below the time after which entries ask again.
      */
-    Millis waitingLife{0};
+    Millis maxWaitTime{0};
     /** At most this many wait. */
-    std::size_t mostWaiting = 256;
+    std::size_t maxWaiting = 256;
     /** How long an answer of full is remembered and repeated; longer than an entry asks for one reservation. */
-    Millis refusalMemory{5000};
+    Millis refusalTtl{5000};
     /** What is told to one that waited so long: it may ask again at once. */
     Millis retryAfterWaiting{1};
 
@@ -84,7 +84,7 @@
      * What is in flight in the whole pool by the last heartbeats, where the pool has several shards: the shard's
      * targets are then kept below the multiple of the pool's mean too, unless that leaves no target with room.
      */
-    void notePool(std::uint64_t total, std::uint64_t targets);
+    void setPoolLoad(std::uint64_t total, std::uint64_t targets);
 
     /** The entry is known to have died: what it held is no longer counted. */
     void dropEntry(const InstanceId &entry);
@@ -122,7 +122,7 @@
     void tick(Millis now);
 
     /** Whether the counts are complete as far as the owner can know. */
-    bool settled(Millis now) const;
+    bool isSettled(Millis now) const;
 
     /** For heartbeats: what counts on the live targets. */
     ShardSum sum(Millis now) const;
--- a/sequoiausher/coordination/admission/shardownertest.cpp
+++ b/sequoiausher/coordination/admission/shardownertest.cpp
@@ -205,21 +205,21 @@
     owner.setEntries({entry, other});
     owner.reportLoad(TargetId{"a"}, 8, Millis{5});
     owner.receive(Millis{11}, entry, HoldingsReport{pool, 0, 1, {{RequestId{0, 1}, TargetId{"a"}}}});
-    CHECK_FALSE(owner.settled(Millis{11}));
+    CHECK_FALSE(owner.isSettled(Millis{11}));
     CHECK(owner.sum(Millis{11}).inFlight == 8);
     SUBCASE("all have reported")
     {
         owner.receive(Millis{12}, other, HoldingsReport{pool, 0, 1, {}});
-        CHECK(owner.settled(Millis{12}));
+        CHECK(owner.isSettled(Millis{12}));
     }
     SUBCASE("the last one is gone")
     {
         owner.setEntries({entry});
-        CHECK(owner.settled(Millis{12}));
+        CHECK(owner.isSettled(Millis{12}));
     }
     SUBCASE("the time is over")
     {
-        CHECK(owner.settled(Millis{10000}));
+        CHECK(owner.isSettled(Millis{10000}));
     }
 }
 
@@ -282,7 +282,7 @@
 {
     static constexpr std::uint32_t places = 16;
 
-    ShardOwner owner{{pool, 0}, OwnerSettings{.waitingLife = Millis{100}}, 1, Millis{0}};
+    ShardOwner owner{{pool, 0}, OwnerSettings{.maxWaitTime = Millis{100}}, 1, Millis{0}};
     Outbox outbox;
     std::uint64_t lastRequest = 0;
 
--- a/sequoiausher/coordination/admission/targetcount.cpp
+++ b/sequoiausher/coordination/admission/targetcount.cpp
@@ -16,21 +16,21 @@
     this->history.push_back(Past{now, 0});
 }
 
-void TargetCount::change(Millis now, int by)
+void TargetCount::change(Millis now, int delta)
 {
-    this->current += by;
+    this->current += delta;
     this->history.push_back(Past{now, this->current});
     while (this->history.size() > 1 && this->history[1].since + historySpan <= now) {
         this->history.pop_front();
     }
 }
 
-void TargetCount::learn(int by)
+void TargetCount::adjustCounted(int delta)
 {
-    this->current += by;
-    this->uncounted -= by;
+    this->current += delta;
+    this->uncounted -= delta;
     for (Past &past : this->history) {
-        past.counted += by;
+        past.counted += delta;
     }
 }
 
--- a/sequoiausher/coordination/admission/targetcount.h
+++ b/sequoiausher/coordination/admission/targetcount.h
@@ -25,10 +25,10 @@
     explicit TargetCount(Millis now = Millis{});
 
     /** The load changes now: a grant or a release. */
-    void change(Millis now, int by);
+    void change(Millis now, int delta);
 
     /** What is known changes, not the load: work that ran before is counted now, or no longer. */
-    void learn(int by);
+    void adjustCounted(int delta);
 
     /** What the target said of its load; ignored unless measured later than the last. */
     void report(std::uint32_t load, Millis measuredAt);
--- a/sequoiausher/coordination/admission/targetcounttest.cpp
+++ b/sequoiausher/coordination/admission/targetcounttest.cpp
@@ -24,13 +24,13 @@
 {
     TargetCount count(Millis{0});
     count.report(5, Millis{10});
-    count.learn(1);
-    count.learn(1);
+    count.adjustCounted(1);
+    count.adjustCounted(1);
     CHECK(count.counted() == 2);
     CHECK(count.estimate(Millis{0}) == 5);
     count.report(4, Millis{20});
     CHECK(count.estimate(Millis{0}) == 4);
-    count.learn(-2);
+    count.adjustCounted(-2);
     CHECK(count.counted() == 0);
     CHECK(count.estimate(Millis{0}) == 4);
     count.report(0, Millis{30});
--- a/sequoiausher/coordination/admission/waitinglist.cpp
+++ b/sequoiausher/coordination/admission/waitinglist.cpp
@@ -30,14 +30,14 @@
 {
 public:
     /** Organisations that were turned down in this round, by class. */
-    using TurnedDown = std::array<std::set<OrganisationId>, requestClassCount>;
+    using RejectedOrganisations = std::array<std::set<OrganisationId>, requestClassCount>;
 
     FairFlows &flowsOf(const ReserveRequest &message)
     {
         return this->classes[static_cast<std::size_t>(message.requestClass)];
     }
 
-    ClassFlags waits() const
+    ClassFlags nonEmptyClasses() const
     {
         ClassFlags flags{};
         for (std::size_t index = 0; index < requestClassCount; ++index) {
@@ -46,13 +46,13 @@
         return flags;
     }
 
-    std::optional<OrganisationId> nextOf(std::size_t index, const TurnedDown &turnedDown) const
+    std::optional<OrganisationId> nextOf(std::size_t index, const RejectedOrganisations &rejected) const
     {
         return this->classes[index].next(
-            [&](const OrganisationId &organisation) { return !turnedDown[index].contains(organisation); });
+            [&](const OrganisationId &organisation) { return !rejected[index].contains(organisation); });
     }
 
-    WaitingReservation takeOff(const RequestId &request)
+    WaitingReservation extract(const RequestId &request)
     {
         const auto found = this->byRequest.find(request);
         WaitingReservation reservation = std::move(found->second);
@@ -60,25 +60,25 @@
         return reservation;
     }
 
-    bool offerNext(const std::function<bool(const WaitingReservation &)> &takes, TurnedDown &turnedDown);
+    bool offerNext(const std::function<bool(const WaitingReservation &)> &tryGrant, RejectedOrganisations &rejected);
     WaitingReservation shedOne();
 
-    std::size_t most = 0;
+    std::size_t maxWaiting = 0;
     std::array<FairFlows, requestClassCount> classes;
     ClassTurns turns;
     std::unordered_map<RequestId, WaitingReservation> byRequest;
     /** By age; those that no longer wait are left in until they come first. */
-    std::deque<std::pair<Millis, RequestId>> order;
+    std::deque<std::pair<Millis, RequestId>> byDeadline;
 };
 
 /** @return false where everybody was turned down. */
-bool WaitingList::Private::offerNext(const std::function<bool(const WaitingReservation &)> &takes,
-                                     TurnedDown &turnedDown)
+bool WaitingList::Private::offerNext(const std::function<bool(const WaitingReservation &)> &tryGrant,
+                                     RejectedOrganisations &rejected)
 {
     std::array<std::optional<OrganisationId>, requestClassCount> heads;
     ClassFlags ready{};
     for (std::size_t index = 0; index < requestClassCount; ++index) {
-        heads[index] = this->nextOf(index, turnedDown);
+        heads[index] = this->nextOf(index, rejected);
         ready[index] = heads[index].has_value();
     }
     if (std::find(ready.begin(), ready.end(), true) == ready.end()) {
@@ -86,11 +86,11 @@
     }
     const std::size_t index = this->turns.next(ready);
     const RequestId request = this->classes[index].first(*heads[index]).request;
-    if (!takes(this->byRequest.at(request))) {
-        turnedDown[index].insert(*heads[index]);
+    if (!tryGrant(this->byRequest.at(request))) {
+        rejected[index].insert(*heads[index]);
         return true;
     }
-    this->turns.served(index, this->waits());
+    this->turns.served(index, this->nonEmptyClasses());
     this->classes[index].takeFirst(*heads[index]);
     this->byRequest.erase(request);
     return true;
@@ -103,12 +103,12 @@
         --lowest;
     }
     FairFlows &flows = this->classes[lowest];
-    return this->takeOff(flows.takeLast(*flows.furthestAbove(nullptr)).request);
+    return this->extract(flows.takeLast(*flows.furthestAbove(nullptr)).request);
 }
 
-WaitingList::WaitingList(std::size_t mostWaiting) : d(std::make_unique<Private>())
+WaitingList::WaitingList(std::size_t maxWaiting) : d(std::make_unique<Private>())
 {
-    this->d->most = mostWaiting;
+    this->d->maxWaiting = maxWaiting;
 }
 
 WaitingList::~WaitingList() = default;
@@ -120,8 +120,8 @@
         return {};
     }
     this->d->flowsOf(reservation.message).add(entryOf(reservation.message));
-    this->d->order.emplace_back(reservation.until, request);
-    if (this->d->byRequest.size() <= this->d->most) {
+    this->d->byDeadline.emplace_back(reservation.deadline, request);
+    if (this->d->byRequest.size() <= this->d->maxWaiting) {
         return {};
     }
     return {this->d->shedOne()};
@@ -130,7 +130,7 @@
 void WaitingList::remove(const RequestId &request)
 {
     if (this->contains(request)) {
-        const WaitingReservation gone = this->d->takeOff(request);
+        const WaitingReservation gone = this->d->extract(request);
         this->d->flowsOf(gone.message).remove(entryOf(gone.message).organisation, request);
     }
 }
@@ -148,21 +148,21 @@
     }
 }
 
-void WaitingList::serve(const std::function<bool(const WaitingReservation &)> &takes)
+void WaitingList::serve(const std::function<bool(const WaitingReservation &)> &tryGrant)
 {
-    Private::TurnedDown turnedDown;
-    while (this->d->offerNext(takes, turnedDown)) {
+    Private::RejectedOrganisations rejected;
+    while (this->d->offerNext(tryGrant, rejected)) {
     }
 }
 
 std::vector<WaitingReservation> WaitingList::takeExpired(Millis now)
 {
     std::vector<WaitingReservation> expired;
-    while (!this->d->order.empty() && now >= this->d->order.front().first) {
-        const auto oldest = this->d->order.front();
-        this->d->order.pop_front();
+    while (!this->d->byDeadline.empty() && now >= this->d->byDeadline.front().first) {
+        const auto oldest = this->d->byDeadline.front();
+        this->d->byDeadline.pop_front();
         const auto found = this->d->byRequest.find(oldest.second);
-        if (found != this->d->byRequest.end() && found->second.until == oldest.first) {
+        if (found != this->d->byRequest.end() && found->second.deadline == oldest.first) {
             expired.push_back(found->second);
             this->remove(oldest.second);
         }
--- a/sequoiausher/coordination/admission/waitinglist.h
+++ b/sequoiausher/coordination/admission/waitinglist.h
@@ -27,14 +27,14 @@
     InstanceId from;
     ReserveRequest message;
     /** When it hears that there is no room. */
-    Millis until;
+    Millis deadline;
 };
 
 /** Those of one shard. Not thread-safe. */
 class WaitingList
 {
 public:
-    explicit WaitingList(std::size_t mostWaiting);
+    explicit WaitingList(std::size_t maxWaiting);
     ~WaitingList();
     WaitingList(const WaitingList &) = delete;
     WaitingList &operator=(const WaitingList &) = delete;
@@ -57,7 +57,7 @@
      * @param takes whether the one offered was answered; it then no longer waits, and its organisation's next is
      * offered.
      */
-    void serve(const std::function<bool(const WaitingReservation &)> &takes);
+    void serve(const std::function<bool(const WaitingReservation &)> &tryGrant);
 
     /** Takes off those whose time is up. */
     std::vector<WaitingReservation> takeExpired(Millis now);
--- a/sequoiausher/coordination/admission/waitinglisttest.cpp
+++ b/sequoiausher/coordination/admission/waitinglisttest.cpp
@@ -15,14 +15,15 @@
 constexpr auto interactive = RequestClass::Interactive;
 constexpr auto background = RequestClass::Background;
 
-WaitingReservation waitingOf(std::uint64_t id, std::uint16_t organisation, RequestClass requestClass, Millis until = {})
+WaitingReservation
+waitingOf(std::uint64_t id, std::uint16_t organisation, RequestClass requestClass, Millis deadline = {})
 {
     WaitingReservation waiting;
     waiting.from = router;
     waiting.message.request = RequestId{0, id};
     waiting.message.organisation = organisation;
     waiting.message.requestClass = requestClass;
-    waiting.until = until;
+    waiting.deadline = deadline;
     return waiting;
 }
 
@@ -148,13 +149,13 @@
                 }
             }
             for (const WaitingReservation &late : list.takeExpired(now)) {
-                RC_ASSERT(late.until <= now);
+                RC_ASSERT(late.deadline <= now);
                 left(late);
             }
             RC_ASSERT(list.size() == waiting.size());
             RC_ASSERT(list.size() <= most);
             for (const auto &entry : waiting) {
-                RC_ASSERT(entry.second.until > now);
+                RC_ASSERT(entry.second.deadline > now);
                 RC_ASSERT(list.contains(entry.first));
             }
         }
--- a/sequoiausher/transport/router/node.cpp
+++ b/sequoiausher/transport/router/node.cpp
@@ -115,9 +115,9 @@
     this->d->claimant.finished(attempt);
 }
 
-void Node::reserve(const Wanted &request)
+void Node::reserve(const PlacementRequest &request)
 {
-    Wanted wanted = request;
+    PlacementRequest wanted = request;
     this->d->addQueueFacts(wanted);
     Outbox outbox;
     std::vector<ReserveResult> results;
--- a/sequoiausher/transport/router/node.h
+++ b/sequoiausher/transport/router/node.h
@@ -108,7 +108,7 @@
     void finished(const RequestId &attempt);
 
     /** Starts a reservation; ends in reservationEnded. */
-    void reserve(const Wanted &request);
+    void reserve(const PlacementRequest &request);
     void release(const RequestId &request);
 
     /** Whether the organisation may have one request more now by the rule that decided; a limit over the fleet. */
--- a/sequoiausher/transport/router/nodemessages.cpp
+++ b/sequoiausher/transport/router/nodemessages.cpp
@@ -43,7 +43,7 @@
     (void)peerIncarnation;
     if (up) {
         const std::scoped_lock lock(this->admissionMutex);
-        this->reserver.peerReachable(peer);
+        this->reserver.markPeerReachable(peer);
         return;
     }
     Outbox outbox;
@@ -51,8 +51,8 @@
     {
         const std::scoped_lock lock(this->admissionMutex);
         const Millis now = Millis::monotonicNow();
-        this->reserver.peerUnreachable(now, peer, outbox);
-        this->owned.instanceSuspected(now, peer);
+        this->reserver.markPeerUnreachable(now, peer, outbox);
+        this->owned.suspectInstance(now, peer);
         results = this->reserver.takeResults();
     }
     this->tellReservations(results);
--- a/sequoiausher/transport/router/nodeprivate.cpp
+++ b/sequoiausher/transport/router/nodeprivate.cpp
@@ -42,7 +42,7 @@
     constexpr Millis longestWait{100};
     constexpr std::int64_t partOfTimeout = 2;
     OwnerSettings owner;
-    owner.waitingLife = std::min(longestWait, settings.admission.reserveTimeout / partOfTimeout);
+    owner.maxWaitTime = std::min(longestWait, settings.admission.reserveTimeout / partOfTimeout);
     return owner;
 }
 
@@ -132,7 +132,7 @@
                      this->targets.applyLoad(target.description.target, load);
                      const std::scoped_lock lock(this->admissionMutex);
                      this->owned.reportLoad(target.description.target, load.load, load.measuredAt);
-                     this->reserver.noteLoad(target.description.target, load);
+                     this->reserver.recordLoad(target.description.target, load);
                  })
     , pacer(
           [this] {
@@ -158,7 +158,7 @@
     }
 }
 
-void Node::Private::addQueueFacts(Wanted &wanted)
+void Node::Private::addQueueFacts(PlacementRequest &wanted)
 {
     const std::scoped_lock lock(this->limitsMutex);
     const std::optional<QueueEntry> entry = this->queueOf(wanted.pool).dispatched(wanted.request);
@@ -306,7 +306,7 @@
         const std::scoped_lock lock(this->admissionMutex);
         own = this->owned.sums(now);
         toPoll = this->owned.targets();
-        const std::vector<TargetView> alone = this->reserver.wantsLoads(now);
+        const std::vector<TargetView> alone = this->reserver.targetsNeedingLoad(now);
         toPoll.insert(toPoll.end(), alone.begin(), alone.end());
     }
     DocumentSummary summary;
@@ -331,9 +331,9 @@
     {
         const std::scoped_lock lock(this->admissionMutex);
         for (const ShardSum &sum : sums) {
-            this->shards.noteSum(sum);
+            this->shards.recordSum(sum);
         }
-        this->owned.noteSums(this->shards);
+        this->owned.refreshPoolLoads(this->shards);
     }
     {
         const std::scoped_lock lock(this->limitsMutex);
@@ -368,7 +368,7 @@
             this->guard.forget(event.target);
         } else if (event.kind == MembershipEventKind::InstanceChanged && event.life.state == LifeState::Gone) {
             const std::scoped_lock lock(this->admissionMutex);
-            this->owned.instanceGone(event.instance);
+            this->owned.dropInstance(event.instance);
         }
     }
     if (viewMoved) {
@@ -416,7 +416,7 @@
         }
         this->toldPools = std::move(views);
         this->owned.update(now, this->shards);
-        this->reserver.listsChanged(now, outbox);
+        this->reserver.handleMapChange(now, outbox);
         results = this->reserver.takeResults();
     }
     this->tellReservations(results);
--- a/sequoiausher/transport/router/nodeprivate.h
+++ b/sequoiausher/transport/router/nodeprivate.h
@@ -63,7 +63,7 @@
     void tellClaims(const std::vector<ClaimOutcome> &outcomes);
     void tellReservations(const std::vector<ReserveResult> &results);
     /** What the queue of its pool knows of a request: whose it is, and until when a place is of use. */
-    void addQueueFacts(Wanted &wanted);
+    void addQueueFacts(PlacementRequest &wanted);
     void queuesGranted(const std::vector<ReserveResult> &results);
     void tellQueue(const std::vector<QueueAction> &actions);
     void tellRefusal();
--- a/sequoiausher/transport/router/targetreservation.cpp
+++ b/sequoiausher/transport/router/targetreservation.cpp
@@ -33,14 +33,14 @@
 {
     const Decision &decision = this->order.decision;
     const std::uint32_t bound = decision.boundPercent.value_or(this->node.settings().admission.boundPercent);
-    this->node.reserve(Wanted{this->order.request,
-                              decision.pool,
-                              this->order.chatHash,
-                              decision.policy,
-                              bound,
-                              std::move(unusable),
-                              this->order.parsed.requestClass,
-                              this->order.prefixHash});
+    this->node.reserve(PlacementRequest{this->order.request,
+                                        decision.pool,
+                                        this->order.chatHash,
+                                        decision.policy,
+                                        bound,
+                                        std::move(unusable),
+                                        this->order.parsed.requestClass,
+                                        this->order.prefixHash});
 }
 
 } // namespace Sequoiausher
