--- a/sequoiausher/coordination/admission/admissionpropertytest.cpp
+++ b/sequoiausher/coordination/admission/admissionpropertytest.cpp
@@ -1,5 +1,5 @@
-// A small fleet of routers under random schedules: messages reordered, repeated and lost, routers that crash, owners
-// that move, lists that disagree. Compared with a counter that sees everything.
+// Runs a small fleet of routers under random schedules: messages are reordered, repeated and lost, routers crash,
+// owners change, lists disagree. The counts are compared with the true ones.
 
 #include "sequoiausher/base/hashing.h"
 #include "sequoiausher/coordination/admission/ownedshards.h"
@@ -23,10 +23,10 @@
 constexpr std::uint32_t percent = 125;
 constexpr int routerCount = 5;
 constexpr int targetCount = 6;
-// Some chats have no prefix: 0.
+// One of the prefixes is 0: chats without a prefix.
 constexpr std::uint64_t prefixCount = 4;
 
-/** Each schedule is played with each of these. */
+/** Each schedule is run with each variant. */
 struct Variant
 {
     PolicyKind policy;
@@ -61,7 +61,7 @@
 class Fleet
 {
 public:
-    /** @param places of each target; with them, reservations that find none wait at the owner. */
+    /** @param places the capacity of each target; if set, reservations that find no place wait at the owner. */
     Fleet(std::uint64_t seed, bool isLossy, const Variant &variant, std::optional<std::uint32_t> places = {})
         : random(seed)
         , lossy(isLossy)
@@ -154,7 +154,7 @@
         }
     }
 
-    /** The last caller goes away, whether or not its request has a target yet. */
+    /** The last request is cancelled, whether or not it has a target yet. */
     void cancelLast()
     {
         for (const auto &entry : this->routers) {
@@ -205,7 +205,7 @@
         this->send(receiver->first, outbox);
     }
 
-    /** As a router does after each message and tick; checks the bound at each admission of a settled owner. */
+    /** Serves waiting reservations after each message and tick; checks the bound at each grant of a settled owner. */
     void serveWaiting(Router &router, Outbox &outbox)
     {
         const ShardOwner *shard = router.owned.find({pool, 0});
@@ -218,7 +218,7 @@
         outbox.insert(outbox.end(), served.begin(), served.end());
     }
 
-    /** Checks the bound at each admission by a settled owner, by the owner's counts and by the true ones. */
+    /** Checks the bound at each grant of a settled owner, by the owner's counts and by the true counts. */
     void deliverRequest(const InstanceId &owner,
                         Router &router,
                         const InstanceId &from,
@@ -241,7 +241,7 @@
         (void)owner;
     }
 
-    /** Checks each place granted against the bound at that moment. @return how many were. */
+    /** Checks each grant against the bound at that moment. @return the number of grants. */
     static std::uint64_t checkGrants(const ShardOwner &shard, std::uint32_t before, const Outbox &outbox)
     {
         std::vector<TargetId> granted;
@@ -298,11 +298,11 @@
         }
     }
 
-    /** No message is under way for longer than a second, as on a real network with time-outs. */
+    /** Delivers all messages: none is in flight for longer than a second, as on a real network with timeouts. */
     void settle()
     {
         this->deliverAll();
-        // Before any report could mend it: each message alone leaves the counts right.
+        // Compared before a report could correct the counts: they must be right after each message.
         if (!this->lossy && this->listsAgree() && this->owner().isSettled(this->now)) {
             this->compareWithTruth();
         }
@@ -317,7 +317,7 @@
             std::erase(this->live, name);
             this->dead.push_back(name);
             this->routers.erase(name);
-            // What it sent is lost with its connections; with loss, some of it still arrives.
+            // Messages of the crashed router are lost with its connections; in lossy runs, some still arrive.
             if (!this->lossy) {
                 std::erase_if(this->messagesInFlight,
                               [&name](const InFlightMessage &message) { return message.from == name; });
@@ -420,7 +420,7 @@
     for (int i = 0; i < 60; ++i) {
         fleet.settle();
         if (fleet.waits) {
-            // Some got their place only now.
+            // Some waiting reservations were granted only now.
             fleet.releaseAll();
         }
     }
@@ -431,7 +431,7 @@
     return fleet.admissions;
 }
 
-/** How far above the bound the fullest target gets when each of the routers chooses by its own counts alone. */
+/** How far the fullest target exceeds the bound if each router chooses by its own counts alone. */
 std::uint64_t excessAlone(PolicyKind kind)
 {
     std::mt19937_64 random(3);
@@ -501,7 +501,7 @@
     }
 }
 
-TEST_CASE("with few places, where reservations wait at the owner, counts and bound hold in the same way")
+TEST_CASE("with few places, so that reservations wait at the owner, counts and bound hold in the same way")
 {
     for (const bool isLossy : {false, true}) {
         for (const Variant &variant : variants) {
@@ -519,7 +519,7 @@
     }
 }
 
-TEST_CASE("routers that choose by what they alone see break the bound under the same load")
+TEST_CASE("routers that choose by their own counts alone break the bound under the same load")
 {
     for (const PolicyKind kind : {PolicyKind::RoundRobin,
                                   PolicyKind::Rendezvous,
--- a/sequoiausher/coordination/admission/holdingset.cpp
+++ b/sequoiausher/coordination/admission/holdingset.cpp
@@ -9,7 +9,7 @@
 
 void HoldingSet::add(const RequestId &reservation)
 {
-    // Byte by byte, so that every machine hashes the same bytes.
+    // Writes the bytes in a fixed order, so that machines of any byte order compute the same hash.
     constexpr std::size_t half = sizeof(std::uint64_t);
     constexpr unsigned bitsPerByte = 8;
     std::array<char, 2 * half> bytes{};
--- a/sequoiausher/coordination/admission/holdingset.h
+++ b/sequoiausher/coordination/admission/holdingset.h
@@ -1,11 +1,11 @@
 #pragma once
 
-// A set of reservations boiled down to a number that two routers can compare: an entry over what it holds in a shard,
-// and the shard's owner over what it counts for that entry.
+// A digest of a set of reservations that two routers can compare: an entry computes it from what it holds in a shard,
+// and the shard's owner from what it counts for that entry.
 //
 //     HoldingSet set;
 //     set.add(reservation);
-//     if (set == HoldingSet{digest.count, digest.digest}) { both know the same }
+//     if (set == HoldingSet{digest.count, digest.digest}) { both sets are equal }
 
 #include "sequoiausher/base/identifiers.h"
 
@@ -14,8 +14,9 @@
 namespace Sequoiausher {
 
 /**
- * A count and the sum of the ids' hashes (XXH3 with 64 bits), whatever the order. Ids come from routers of the fleet,
- * not from callers, so nobody picks them to collide; two different sets look alike once in 2^64, until either changes.
+ * The number of the ids and the sum of their hashes (XXH3 with 64 bits), independent of the order. The ids come from
+ * routers of the fleet and not from callers, so nobody chooses them to collide. Two different sets of the same size
+ * have the same digest with a probability of 1 in 2^64, until one of them changes.
  */
 struct HoldingSet
 {
--- a/sequoiausher/coordination/admission/holdingsettest.cpp
+++ b/sequoiausher/coordination/admission/holdingsettest.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("a set does not depend on the order, and differs where one id does")
+TEST_CASE("the digest does not depend on the order of the ids, and it differs if one id differs")
 {
     const RequestId a{1, 2};
     const RequestId b{2, 1};
--- a/sequoiausher/coordination/admission/holdingsexchangetest.cpp
+++ b/sequoiausher/coordination/admission/holdingsexchangetest.cpp
@@ -1,4 +1,4 @@
-// An entry and the owner of a shard, joined: when reports go and when digests do.
+// Connects an entry with the owner of a shard and tests when reports are sent and when digests.
 
 #include "sequoiausher/base/hashing.h"
 #include "sequoiausher/coordination/admission/ownedshards.h"
@@ -53,7 +53,7 @@
         return this->owned->find({pool, 0})->holdings();
     }
 
-    /** Carries messages until none is left. @return the kinds that went to the owner, by first letter. */
+    /** Delivers messages until none is left. @return 'r' for each report and 'd' for each digest sent to the owner. */
     std::string exchange()
     {
         std::string kinds;
@@ -95,7 +95,7 @@
         this->exchange();
     }
 
-    /** The next round of reports. */
+    /** Runs the next round of reports. */
     std::string round()
     {
         this->now += Millis{5000};
@@ -107,7 +107,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(ExchangeFixture, "a new owner gets the report, and from then on digests while both know the same")
+TEST_CASE_FIXTURE(ExchangeFixture, "a new owner gets a report, and then digests while both sides agree")
 {
     this->reserve(1);
     this->reserve(2);
@@ -116,7 +116,7 @@
     CHECK(this->counted() == 2);
 }
 
-TEST_CASE_FIXTURE(ExchangeFixture, "what was lost is mended by a report in the same round")
+TEST_CASE_FIXTURE(ExchangeFixture, "lost messages or counts are corrected by a report in the same round")
 {
     this->reserve(1);
     this->reserve(2);
@@ -129,7 +129,7 @@
         CHECK(this->round() == "dr");
         CHECK(this->counted() == 1);
     }
-    SUBCASE("all that the owner knew, in a restart that no connection shows")
+    SUBCASE("all counts of the owner, in a restart without a broken connection")
     {
         this->restartOwner();
         CHECK(this->round() == "dr");
@@ -139,7 +139,7 @@
 }
 
 TEST_CASE_FIXTURE(ExchangeFixture,
-                  "an owner that broke its connection gets reports until it says that it takes digests")
+                  "after a broken connection an owner gets reports until it answers that it accepts digests")
 {
     this->reserve(1);
     CHECK(this->round() == "d");
@@ -153,7 +153,7 @@
     CHECK(this->round() == "d");
 }
 
-TEST_CASE_FIXTURE(ExchangeFixture, "only the owner's answer counts, and an entry that wants none gets none")
+TEST_CASE_FIXTURE(ExchangeFixture, "only the owner's answer counts, and an entry that wants no answer gets none")
 {
     this->reserve(1);
     this->entry.receive(InstanceId{"stranger"}, HoldingsAnswer{pool, 0, true}, this->toOwner);
@@ -163,10 +163,10 @@
     CHECK(answers.empty());
 }
 
-// Symptom: a router that takes a shard up again counts nothing of an entry for up to a report interval.
-// Events: its list drops the shard and takes it up again within seconds, the entry's list does not change.
-// Cause: a digest alone does not say what is held.
-TEST_CASE_FIXTURE(ExchangeFixture, "an owner that does not know the shard for a while asks for the report and keeps it")
+// Guards against a router that owns a shard again but counts no reservations of an entry for up to a report interval:
+// its list drops the shard and contains it again within seconds, while the entry's list does not change. A digest alone
+// does not show what is held.
+TEST_CASE_FIXTURE(ExchangeFixture, "a router that does not own the shard for a while asks for the report and keeps it")
 {
     this->reserve(1);
     ShardMap without{ShardSettings{}};
--- a/sequoiausher/coordination/admission/localplacement.cpp
+++ b/sequoiausher/coordination/admission/localplacement.cpp
@@ -61,7 +61,8 @@
     for (const TargetView &target : live) {
         const TargetId &name = target.description.target;
         const ReportedLoad *reported = this->freshLoad(now, target);
-        // Where nothing is known but this router's own, the total comes out too low, and with it the bound.
+        // Without a report, only this router's own requests are known. The total and the bound are then too low, which
+        // is the safe side.
         const std::uint32_t carried = std::max(countOf(own, name), reported == nullptr ? 0 : reported->load);
         load.targets.push_back(TargetLoad{name, target.hash, carried, carried, reported != nullptr});
         load.total += carried;
@@ -79,7 +80,8 @@
     const HeadroomInput known{boundPercent, load.total, load.counted, seen.inFlight, target.description.capacity};
     const std::size_t rank = routerRank(routers, this->self, target.hash);
     const std::uint64_t share = localShare(localHeadroom(known), rank, routers.size());
-    // Placed ones count in full although the report may show some of them already: it lags, and which is not known.
+    // All local placements count, although the target's report may include some of them already: the report lags, and
+    // it does not show which requests it includes.
     const std::uint64_t used = countOf(this->localCounts, seen.target);
     return share > used ? share - used : 0;
 }
--- a/sequoiausher/coordination/admission/localplacement.h
+++ b/sequoiausher/coordination/admission/localplacement.h
@@ -1,11 +1,12 @@
 #pragma once
 
-// Chooses a target without its owner, within this router's share of the places that the stricter bound leaves.
+// Chooses a target without asking the shard's owner, within this router's share of the places left below the strict
+// load bound.
 //
 //     LocalPlacement placement(self, Millis{3000}, seed);
 //     placement.recordLoad(target, load);
 //     const std::optional<TargetId> target = placement.choose(now, wanted, targets, routers, own);
-//     placement.placed(*target);   // and removed(*target) at the end
+//     placement.recordPlacement(*target);   // and recordRemoval(*target) at the end
 
 #include "sequoiausher/coordination/admission/placementrequest.h"
 #include "sequoiausher/state/targets/targettable.h"
@@ -15,17 +16,17 @@
 
 namespace Sequoiausher {
 
-/** How many requests on each target; targets with none are left out. */
+/** The number of requests on each target; targets without requests have no element. */
 using TargetCounts = std::unordered_map<TargetId, std::uint32_t>;
 
-/** One fewer on the target, which has at least one. */
+/** Subtracts one from the target's count, which must be at least one. */
 void decrementCount(TargetCounts &counts, const TargetId &target);
 
-/** The choices that one router makes alone. */
+/** The local placements of one router. */
 class LocalPlacement
 {
 public:
-    /** @param reportedLoadTtl a target whose last report is older takes nothing: what it carries is not known. */
+    /** @param reportedLoadTtl a target whose last report is older gets no requests, since its load is not known. */
     LocalPlacement(InstanceId self, Millis reportedLoadTtl, std::uint64_t seed);
     ~LocalPlacement();
     LocalPlacement(const LocalPlacement &) = delete;
@@ -33,16 +34,16 @@
 
     void recordLoad(const TargetId &target, const ReportedLoad &load);
 
-    /** A request was placed on the target by this router alone. */
+    /** Records that a chosen target was used. */
     void recordPlacement(const TargetId &target);
-    /** That request ended. */
+    /** Records that a request counted by recordPlacement() ended. */
     void recordRemoval(const TargetId &target);
 
     /**
-     * @param targets of the shard.
-     * @param routers the live ones.
-     * @param own what this router holds on each target, however granted.
-     * @return none where this router has no place left.
+     * @param targets the targets of the shard.
+     * @param routers the live routers.
+     * @param own what this router holds on each target, whether granted by an owner or locally.
+     * @return none if this router has no place left.
      */
     std::optional<TargetId> choose(Millis now,
                                    const PlacementRequest &wanted,
@@ -50,7 +51,7 @@
                                    const std::vector<InstanceId> &routers,
                                    const TargetCounts &own);
 
-    /** Drops the loads that are too old to be acted on. */
+    /** Drops the loads that are too old to be used. */
     void dropStaleLoads(Millis now);
 
 private:
--- a/sequoiausher/coordination/admission/localshare.cpp
+++ b/sequoiausher/coordination/admission/localshare.cpp
@@ -9,7 +9,7 @@
 
 std::uint64_t localHeadroom(const HeadroomInput &known)
 {
-    // One request on an empty target is within every bound, so a quiet pool is not refused.
+    // One request on an empty target is within every bound, so that an idle pool accepts its first requests.
     std::uint64_t limit = std::max(strictLoadBound(known.boundPercent, known.total, known.targets), std::uint64_t{1});
     if (known.capacity) {
         limit = std::min(limit, std::uint64_t{*known.capacity});
--- a/sequoiausher/coordination/admission/localsharetest.cpp
+++ b/sequoiausher/coordination/admission/localsharetest.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("the shares of all routers add up to the headroom, however the two divide")
+TEST_CASE("the shares of all routers add up to the headroom, also with a remainder")
 {
     for (const int count : {1, 7, 100}) {
         const std::vector<InstanceId> routers = routersOf(count);
@@ -53,11 +53,11 @@
     CHECK(localHeadroom(HeadroomInput{125, 80, 8, 20, std::nullopt}) == 0);
 }
 
-TEST_CASE("the bound holds though every router places alone at once, as much as it may")
+TEST_CASE("the bound holds even if every router uses its full local share at the same time")
 {
-    // Symptom: engines far above the bound for the seconds after an owner died. Sequence: the owner goes silent, and
-    // every router, all having seen the same reports, places requests by itself, none seeing the others'. Cause: each
-    // would use the whole headroom of the same target.
+    // Guards against engines far above the bound for seconds after an owner's death: all routers have the same load
+    // reports, place requests without the owner and do not see each other's requests, so each would use the whole
+    // headroom of the same target.
     struct Case
     {
         int routers;
--- a/sequoiausher/coordination/admission/organisationshares.h
+++ b/sequoiausher/coordination/admission/organisationshares.h
@@ -1,13 +1,14 @@
 #pragma once
 
-// What each organisation holds of a shard, and whether that is far above an even share.
+// Counts what each organisation holds in a shard and compares the count with an even share.
 //
 //     shares.add(organisation);
-//     if (shares.isAboveShare(organisation, capacity)) { grant it no place that is kept for others }
+//     if (shares.isAboveShare(organisation, capacity)) { grant no place that is kept for others }
 //
-// Organisations are known by a short hash of their name, 0 for none told; the hash fits into bytes of a reservation
-// that were padding. Two that share a hash share a share: one in 65536 does with a given other. What an owner learnt
-// from reports of entries tells no organisation and is not counted here.
+// An organisation is identified by a short hash of its name; 0 means that the organisation is not known. The hash fits
+// into bytes of a reservation that were padding. Two organisations with the same hash are counted as one; for a given
+// pair, the probability is 1 in 65536. Holdings that an owner counts from the reports of entries have no organisation
+// and are not counted here.
 
 #include <cstddef>
 #include <cstdint>
@@ -16,7 +17,7 @@
 
 namespace Sequoiausher {
 
-/** What stands for an organisation in reservations; never 0. */
+/** The hash that identifies an organisation in reservations; never 0. */
 std::uint16_t organisationHash(std::string_view name);
 
 /** The counts of one shard. Not thread-safe. */
@@ -24,8 +25,9 @@
 {
 public:
     /**
-     * How many even shares an organisation may hold before it counts as above. At one, the quiet ones of a fleet would
-     * pass it by chance: with a mean of two requests each, one in four at any time, with two shares one in a hundred.
+     * An organisation that holds this many even shares counts as above its share. With 1, organisations with few
+     * requests would be above by chance: at a mean of two requests each, one in four of them at any time. With 2, it is
+     * one in a hundred.
      */
     static constexpr std::uint64_t maxEvenShares = 2;
 
@@ -33,15 +35,18 @@
     void remove(std::uint16_t organisation);
 
     /**
-     * Whether it holds at least maxEvenShares times the capacity divided by the organisations that hold something; with
-     * one or two of these never.
+     * Whether the organisation holds at least maxEvenShares times the capacity divided by the number of organisations
+     * that hold something. Never true with one or two such organisations while the shard holds at most its capacity.
      */
     bool isAboveShare(std::uint16_t organisation, std::uint64_t capacity) const;
 
-    /** Whether any of them is. */
+    /** Whether any organisation is above its share. */
     bool isAnyAboveShare(std::uint64_t capacity) const;
 
-    /** Whether it holds less than the capacity divided by the organisations that hold something; never for 0. */
+    /**
+     * Whether the organisation holds less than the capacity divided by the number of organisations that hold something.
+     * Never true for 0.
+     */
     bool isBelowShare(std::uint16_t organisation, std::uint64_t capacity) const;
 
 private:
--- a/sequoiausher/coordination/admission/organisationsharestest.cpp
+++ b/sequoiausher/coordination/admission/organisationsharestest.cpp
@@ -6,7 +6,7 @@
 
 using namespace Sequoiausher;
 
-TEST_CASE("above: twice an even share among those that hold something")
+TEST_CASE("an organisation is above its share from twice an even share among those that hold something")
 {
     struct Row
     {
@@ -39,7 +39,7 @@
     }
 }
 
-TEST_CASE("what is let go no longer counts; one that is not told is never above")
+TEST_CASE("released requests no longer count, and an unknown organisation is never above its share")
 {
     OrganisationShares shares;
     for (int i = 0; i < 32; ++i) {
--- a/sequoiausher/coordination/admission/ownedshards.cpp
+++ b/sequoiausher/coordination/admission/ownedshards.cpp
@@ -10,9 +10,10 @@
 namespace {
 
 constexpr Millis tickInterval{1000};
-// Lists disagree for seconds: others may know for this long, before this router does, that it owns a shard.
+// The routers' lists may disagree for seconds: other routers may send messages for a shard this long before this router
+// notices that it owns the shard.
 constexpr Millis earlyMessageTtl{5000};
-// Only a flood reaches this; dropping then costs no more than waiting for the next reports.
+// Reached only in a flood of messages. Dropping further ones only means to wait for the next reports.
 constexpr std::size_t maxEarlyMessages = 20000;
 
 struct OwnedShard
@@ -43,7 +44,7 @@
     OwnerSettings settings;
     std::uint64_t seed = 0;
     std::map<ShardId, OwnedShard> shards;
-    /** The owners of the shards that are not this router's. */
+    /** The owners of the shards that this router does not own. */
     std::map<ShardId, InstanceId> otherOwners;
     std::deque<EarlyMessage> earlyMessages;
     Millis lastTick;
@@ -56,8 +57,8 @@
         owner->receive(now, from, message);
         return;
     }
-    // Goes wrong otherwise: entries that learn of a death before this router does send it their reports at once, it
-    // drops them, and once it takes over it waits for them until the settle time.
+    // Entries that notice an owner's death before this router does send their reports to this router at once. If it
+    // dropped them, its new owner would wait for these reports until settleTime is over.
     if (this->earlyMessages.size() < maxEarlyMessages) {
         this->earlyMessages.push_back(EarlyMessage{now, from, message});
     }
@@ -188,8 +189,8 @@
 
 void OwnedShards::receive(Millis now, const InstanceId &from, const HoldingsDigest &message, Outbox &outbox)
 {
-    // A digest for a shard that this router lost by its own list, and may take up again: the report is then kept as an
-    // early one, where the digest alone could not say what the entry holds.
+    // A shard without an owner here may be one that this router lost by its own list and may own again soon. The report
+    // is then kept as an early message; the digest alone would not show what the entry holds.
     ShardOwner *owner = this->d->find(message.pool, message.shard);
     if (owner == nullptr || owner->receive(now, from, message)) {
         outbox.push_back({from, HoldingsAnswer{message.pool, message.shard, true}});
--- a/sequoiausher/coordination/admission/ownedshards.h
+++ b/sequoiausher/coordination/admission/ownedshards.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// The shards that this router owns by its own lists, made and dropped as the lists change.
+// The shards that this router owns by its own lists. Their ShardOwner objects are created and destroyed as the lists
+// change.
 //
 //     owned.update(now, map);                    // after each change of the lists
 //     owned.receive(now, from, message, outbox); // ReserveRequest, HoldingsReport, HoldingsDigest
@@ -19,30 +20,30 @@
     OwnedShards(const OwnedShards &) = delete;
     OwnedShards &operator=(const OwnedShards &) = delete;
 
-    /** Takes up what map now gives to this router, drops what it gives to others, and renews targets and entries. */
+    /** Starts to own the shards that map assigns to this router, drops all others, and updates targets and entries. */
     void update(Millis now, const ShardMap &map);
 
-    /** Takes over the sums that map heard on heartbeats; call after each heartbeat or about twice a second. */
+    /** Passes the pools' loads by the heartbeats in map to the owners. Call after each heartbeat or twice a second. */
     void refreshPoolLoads(const ShardMap &map);
 
-    /** The router is known to have died; not for one that is leaving, which still holds its streams. */
+    /** Removes a router that is known to have died. Not for a leaving router, which still holds its streams. */
     void dropInstance(const InstanceId &instance);
 
-    /** The connection to the router broke: it may have died. */
+    /** Call when the connection to the router broke, since the router may have died. */
     void suspectInstance(Millis now, const InstanceId &instance);
 
-    /** What a target said of its load; ignored for targets of other owners. */
+    /** Records the load that a target reported; ignored for targets of other owners. */
     void reportLoad(const TargetId &target, std::uint32_t load, Millis measuredAt);
 
-    /** Answers NotOwner for a shard of another router, and names that router. */
+    /** For a shard of another router, answers NotOwner with the name of that router. */
     void receive(Millis now, const InstanceId &from, const ReserveRequest &message, Outbox &outbox);
     void receive(Millis now, const InstanceId &from, const Release &message);
-    /** Says that digests are taken where the entry asks for it. */
+    /** If the entry wants an answer, answers that this router accepts digests. */
     void receive(Millis now, const InstanceId &from, const HoldingsReport &message, Outbox &outbox);
-    /** Asks for the report where it could change something, also for a shard of another router. */
+    /** Asks for the full report if the digest differs from the counts, or if the shard is another router's. */
     void receive(Millis now, const InstanceId &from, const HoldingsDigest &message, Outbox &outbox);
 
-    /** Answers the reservations that wait for a place; call after each message and when time has passed. */
+    /** Grants or refuses waiting reservations where possible. Call after each message and when time has passed. */
     void serveWaiting(Millis now, Outbox &outbox);
     /** Whether any reservation waits for a place. */
     bool hasWaiting() const;
@@ -54,10 +55,10 @@
     /** For heartbeats. */
     std::vector<ShardSum> sums(Millis now) const;
 
-    /** The targets of all owned shards: those that this router, and no other, asks for their load. */
+    /** The targets of all owned shards. This router queries their load. */
     std::vector<TargetView> targets() const;
 
-    /** The owner of one shard, or null where this router is not it. */
+    /** The owner of the shard, or null if this router does not own the shard. */
     const ShardOwner *find(const ShardId &shard) const;
 
 private:
--- a/sequoiausher/coordination/admission/placementrequest.h
+++ b/sequoiausher/coordination/admission/placementrequest.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What a request asks of admission.
+// What admission needs to know about a request to reserve a target for it.
 //
 //     const PlacementRequest wanted{request, PoolId{"plates"}, chatHash, PolicyKind::BoundedRendezvous, 125, {}};
 
@@ -9,7 +9,7 @@
 
 namespace Sequoiausher {
 
-/** A request that wants a target. */
+/** A request that needs a target. */
 struct PlacementRequest
 {
     RequestId request;
@@ -20,11 +20,11 @@
     /** Targets found unusable for this request. */
     std::vector<TargetId> excluded;
     RequestClass requestClass = RequestClass::Interactive;
-    /** Of the prompt prefix that the chat shares with others; 0 where none is known. */
+    /** A hash of the prompt prefix that the chat shares with other chats; 0 if none is known. */
     std::uint64_t prefixHash = 0;
-    /** A hash of the organisation; 0 where it is not known. */
+    /** organisationHash() of the organisation; 0 if it is not known. */
     std::uint16_t organisation = 0;
-    /** After this point in time a place is of no use any more, and the result is ReserveOutcome::Full. */
+    /** From this time on, a place is of no use, and the result is ReserveOutcome::Full. */
     Millis giveUpAt = Millis::never();
 };
 
--- a/sequoiausher/coordination/admission/recentchats.h
+++ b/sequoiausher/coordination/admission/recentchats.h
@@ -1,11 +1,11 @@
 #pragma once
 
-// Where each chat was last placed, so that its next turn finds the longest cached prompt prefix there. A chat that once
-// overflowed to its second engine has its latest turns cached there, not at its first.
+// Remembers the last target of each chat, since that target has the longest cached prompt prefix for the chat's next
+// turn. After an overflow to the chat's second engine, the latest turns are cached there and not at the first.
 //
 //     RecentChats chats(65536);
-//     chats.placed(chatHash, target);
-//     const TargetId *last = chats.find(chatHash);   // null where not known
+//     chats.recordPlacement(chatHash, target);
+//     const TargetId *last = chats.find(chatHash);   // null if not known
 
 #include "sequoiausher/base/identifiers.h"
 
@@ -14,7 +14,7 @@
 
 namespace Sequoiausher {
 
-/** A memory of limited size; the chat placed longest ago is forgotten first. Losing it costs cache hits only. */
+/** Of limited size; the chat placed longest ago is dropped first. A lost record costs only cache hits. */
 class RecentChats
 {
 public:
@@ -26,7 +26,7 @@
 
     void recordPlacement(std::uint64_t chatHash, const TargetId &target);
 
-    /** Valid until the next call of placed(). */
+    /** The chat's last target, or null if not known. Valid until the next call of recordPlacement(). */
     const TargetId *find(std::uint64_t chatHash) const;
 
 private:
--- a/sequoiausher/coordination/admission/recentchatstest.cpp
+++ b/sequoiausher/coordination/admission/recentchatstest.cpp
@@ -4,7 +4,7 @@
 
 using namespace Sequoiausher;
 
-TEST_CASE("the last placement counts, and the chat placed longest ago is forgotten first")
+TEST_CASE("find() returns the last placement, and the chat placed longest ago is dropped first")
 {
     RecentChats chats(2);
     CHECK(chats.find(1) == nullptr);
--- a/sequoiausher/coordination/admission/recentrequests.h
+++ b/sequoiausher/coordination/admission/recentrequests.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// Requests remembered for a while, such as those that were told that there is no room.
+// Remembers requests for a while, for example those that were refused.
 //
 //     refused.add(now, request);
-//     if (refused.contains(request)) { tell it the same again }
+//     if (refused.contains(request)) { send the same refusal again }
 //     refused.forgetUntil(now - Millis{5000});
 
 #include "sequoiausher/base/identifiers.h"
@@ -18,10 +18,10 @@
 class RecentRequests
 {
 public:
-    /** One that is remembered already keeps its time. */
+    /** Adds the request. A request that is remembered already keeps its time. */
     void add(Millis now, const RequestId &request);
     bool contains(const RequestId &request) const;
-    /** Forgets those added at that time or before. */
+    /** Removes the requests that were added at that time or before. */
     void forgetUntil(Millis time);
 
 private:
--- a/sequoiausher/coordination/admission/reportdifferentialtest.cpp
+++ b/sequoiausher/coordination/admission/reportdifferentialtest.cpp
@@ -1,5 +1,5 @@
-// Two owners of one shard under the same schedule: one hears reports, the other digests, and a report only where it
-// asks for one. After each round they must count the same.
+// Runs two owners of one shard under the same schedule: one receives reports, the other receives digests and, if it
+// asks for one, a report. After each round, both must have the same counts.
 
 #include "sequoiausher/base/hashing.h"
 #include "sequoiausher/coordination/admission/holdingset.h"
@@ -30,7 +30,7 @@
     return targets;
 }
 
-/** What one entry knows. */
+/** The state of one entry. */
 struct Entry
 {
     std::map<RequestId, TargetId> kept;
@@ -40,7 +40,7 @@
     HoldingsDigest lastDigest;
 };
 
-/** Whether a digest that differs is followed by a report; without, the test must fail. */
+/** Whether a digest that differs is followed by a report. Without reports, the test must fail. */
 enum class Asking { Reports, Never };
 
 class TwoOwners
@@ -85,7 +85,7 @@
     std::size_t spared = 0;
 
 private:
-    /** Both forget all, and the entries do not notice. */
+    /** Both owners lose all counts, and the entries do not notice. */
     void restartOwners()
     {
         for (auto *owner : {&this->byReports, &this->byDigests}) {
@@ -102,7 +102,7 @@
         entry.sequence += 1000;
     }
 
-    /** Both owners decide alike, since they count alike; the message, or its answer, may be lost for both. */
+    /** Both owners have the same counts and must answer the same. The message or its answer may be lost for both. */
     void reserve(const InstanceId &name, Entry &entry)
     {
         const ReserveRequest request{
@@ -168,7 +168,7 @@
         this->compare();
     }
 
-    /** The last round's messages come again, late. */
+    /** The messages of the last round arrive again, late. */
     void repeat(const InstanceId &name, const Entry &entry)
     {
         if (entry.sequence > 0) {
@@ -222,10 +222,10 @@
 
 } // namespace
 
-// Symptom: an owner counts too many or too few on a target, and its bound is broken or places stay empty.
-// Events: requests, answers and releases are lost; the entry's digest differs from what the owner counts.
-// Cause: taking a digest for more than it says.
-TEST_CASE("an owner that hears digests counts what one that hears reports does")
+// Guards against an owner that counts too many or too few reservations on a target, so that its bound is broken or
+// places stay empty: requests, answers and releases are lost, the entry's digest differs from what the owner counts,
+// and the owner concludes more from the digest than it shows.
+TEST_CASE("an owner that receives digests has the same counts as an owner that receives reports")
 {
     CHECK(rc::check([](std::uint64_t seed) {
         TwoOwners owners(seed, Asking::Reports);
--- a/sequoiausher/coordination/admission/reserver.cpp
+++ b/sequoiausher/coordination/admission/reserver.cpp
@@ -15,25 +15,26 @@
 namespace {
 
 constexpr int incarnationShift = 20;
-// A router further back in a target's order has no place on it while fewer than this many are free.
+// A router of this rank or higher in a target's rendezvous order has no local share while the target has this many free
+// places or fewer, so it does not query the target's load.
 constexpr std::size_t loadQueryRanks = 16;
-// The queue refuses what is late by itself; it only has to look again.
+// The router's queue refuses late requests itself and only has to check again.
 constexpr Millis lateRetryAfter{1};
 
-/** A reservation asked for and not answered. */
+/** A reservation whose request has not been answered. */
 struct Pending
 {
     PlacementRequest wanted;
     RequestId reservation;
     ShardRoute route;
     Millis deadline;
-    /** Asked for so often without an answer. */
+    /** How often the request was sent without an answer. */
     std::uint32_t attempts = 0;
-    /** The owner answered NotOwner, so this waits for lists to agree. */
+    /** The owner answered NotOwner, so the reservation waits until the routers' lists agree. */
     bool awaitsOwnerChange = false;
-    /** It was passed on to the router that a NotOwner named. */
+    /** The reservation was redirected to the router that a NotOwner answer named. */
     bool redirected = false;
-    /** Until when it follows an owner that moves; set by the first NotOwner. */
+    /** When to stop following NotOwner answers; set by the first of them. */
     Millis redirectDeadline = Millis::never();
 };
 
@@ -87,17 +88,17 @@
     std::uint64_t reservationCount = 0;
     std::unordered_map<RequestId, Pending> pending;
     std::unordered_map<RequestId, GrantedReservation> granted;
-    /** From the ids on the wire back to the requests. */
+    /** Maps the reservation ids on the wire to the requests. */
     std::unordered_map<RequestId, RequestId> requestOf;
-    /** Held by this router on each target. */
+    /** Number of reservations of this router on each target. */
     TargetCounts ownCounts;
     std::map<InstanceId, Millis> unreachableUntil;
     std::map<ShardId, InstanceId> owners;
-    /** The owners that said that they take digests, each until it changes or its connection breaks. */
+    /** The owners that accept digests; an entry is removed when the owner changes or its connection breaks. */
     std::map<ShardId, InstanceId> digestOwners;
     /**
-     * Shards that the next round of reports goes to: those asked since the last one, or where that named something. A
-     * grant whose answer and release were both lost is undone by it, also where this router holds nothing now.
+     * The shards of the next round of reports: those asked since the last round, and those whose last report was not
+     * empty. The report undoes a grant whose answer and release were both lost, even if this router holds nothing now.
      */
     std::map<ShardId, bool> reportDue;
     Millis nextReport;
@@ -110,8 +111,8 @@
     return owner.empty() || (entry != this->unreachableUntil.end() && now < entry->second);
 }
 
-// What goes wrong if loads are asked for only once an owner counts as unreachable: the first requests then placed alone
-// know no load and are refused. It shows as pool_full for half a second after an owner's death.
+// Owners that have not answered a request in time. If loads were queried only once an owner counts as unreachable, the
+// first local placements would have no loads and be refused, with pool_full for half a second after an owner's death.
 std::set<InstanceId> Reserver::Private::lateOwners() const
 {
     std::set<InstanceId> late;
@@ -171,7 +172,7 @@
     const InstanceId owner = this->map.ownerOf(shard);
     this->sendRelease(owner, grantedReservation.reservation, shard, outbox);
     if (grantedReservation.grantedBy != owner) {
-        // The router that granted it may still believe that it owns the shard.
+        // By its own lists, the router that granted the reservation may still own the shard.
         this->sendRelease(grantedReservation.grantedBy, grantedReservation.reservation, shard, outbox);
     }
     this->requestOf.erase(grantedReservation.reservation);
@@ -199,7 +200,7 @@
 
 void Reserver::Private::cancelPending(Pending &pendingRequest, Outbox &outbox) const
 {
-    // The owner may have granted it, with the answer lost or late.
+    // The owner may have granted the reservation, with the answer lost or late.
     this->sendRelease(pendingRequest.route.owner, pendingRequest.reservation, pendingRequest.route.shard, outbox);
 }
 
@@ -219,7 +220,7 @@
 void Reserver::Private::requestFrom(Millis now, Pending &pendingRequest, const ShardRoute &route, Outbox &outbox)
 {
     const RequestId request = pendingRequest.wanted.request;
-    // A new id for each shard and owner asked, so that the release of the one cannot touch the other.
+    // Each shard and owner gets a new id, so that a release of an earlier reservation cannot undo this one.
     constexpr std::uint64_t spread = 0x9e3779b97f4a7c15ULL;
     this->requestOf.erase(pendingRequest.reservation);
     pendingRequest.route = route;
@@ -233,16 +234,16 @@
     this->sendRequest(now, pendingRequest, outbox);
 }
 
-// What goes wrong: a router returns, the shard's owner learns it first and hands out nothing more, and for about a
-// second this router's list still names the former owner. Asking that one alone until the tries are used up refuses
-// requests while every target has room; it shows as pool_full in a planned stop. So the named owner is asked at once,
-// and where the two disagree too, this waits for the lists, for a bounded time.
+// When a router returns, the shard's former owner may notice first and stop granting, while this router's list still
+// names the former owner for about a second. Asking only the former owner until all attempts are used up would refuse
+// requests (as pool_full, in a planned stop) although every target has room. So the router named in the answer is asked
+// at once. If that router answers NotOwner too, the reservation waits for the lists to agree, for a bounded time.
 void Reserver::Private::handleNotOwner(Millis now, Pending &moved, const InstanceId &named, Outbox &outbox)
 {
     if (moved.awaitsOwnerChange) {
         return;
     }
-    // It did answer.
+    // The owner answered, so the attempt does not count as unanswered.
     moved.attempts -= 1;
     if (moved.redirectDeadline == Millis::never()) {
         moved.redirectDeadline = now + this->settings.redirectTimeout;
@@ -250,9 +251,9 @@
     const bool mayRedirect = !moved.redirected && named != moved.route.owner && !this->isUnreachable(now, named);
     if (mayRedirect) {
         moved.redirected = true;
-        // What goes wrong without it: the question was sent twice, the second one finds the shard's owner where the
-        // first did not, and a place is granted that nobody takes. It shows as a target that counts one too many for
-        // seconds.
+        // The request may have been sent twice, and the router may own the shard again when the second copy arrives.
+        // Without this release, that copy would be granted a place that nobody uses, and the target would count one
+        // reservation too many for seconds.
         this->cancelPending(moved, outbox);
         this->requestFrom(now, moved, ShardRoute{moved.route.shard, named}, outbox);
         return;
@@ -321,8 +322,8 @@
     }
 }
 
-// What is asked for and not answered is not in the digest: the owner may count it or not. Where it does, it asks for
-// the report, which names it.
+// Pending reservations are not in the digest, since the owner may count them or not. If the owner does, the digests
+// differ and the owner asks for the report, which lists the pending reservations.
 void Reserver::Private::sendDigest(const ShardId &shard, const InstanceId &owner, Outbox &outbox)
 {
     HoldingSet set;
@@ -397,8 +398,8 @@
     const auto known = this->d->requestOf.find(message.request);
     const auto found
         = known == this->d->requestOf.end() ? this->d->pending.end() : this->d->pending.find(known->second);
-    // A late or repeated answer is of no use. If it granted something, the release sent when this router gave up, or
-    // else the next report, undoes it.
+    // Ignores late and repeated answers. A grant in such an answer is undone by the release sent when the reservation
+    // was cancelled, or else by the next report.
     if (found == this->d->pending.end() || found->second.route.owner != from) {
         return;
     }
@@ -464,13 +465,15 @@
 
 void Reserver::markPeerUnreachable(Millis now, const InstanceId &peer, Outbox &outbox)
 {
-    // What goes wrong if one that left is marked too: a router ends as planned, its successor of the same name takes
-    // its shards back within the second, and is not asked. It shows as refusals just after each return.
+    // A router that has left is not marked: after a planned stop, its successor of the same name may take its shards
+    // back within a second. If the name were marked, the successor would not be asked, and requests would be refused
+    // just after each return.
     const std::vector<InstanceId> &live = this->d->map.instances();
     if (std::binary_search(live.begin(), live.end(), peer)) {
         this->d->unreachableUntil[peer] = now + this->d->settings.unreachableTime;
     }
-    // Its next life may be of a version that knows no digests: it would pass over them, and drop what is held here.
+    // The peer may restart with a version that does not support digests. It would ignore them and drop the reservations
+    // of this router.
     std::erase_if(this->d->digestOwners, [&peer](const auto &entry) { return entry.second == peer; });
     std::vector<RequestId> affected;
     for (const auto &entry : this->d->pending) {
--- a/sequoiausher/coordination/admission/reserver.h
+++ b/sequoiausher/coordination/admission/reserver.h
@@ -1,15 +1,15 @@
 #pragma once
 
-// The entry's side of admission: gets a target for each request from the shard's owner, keeps the owners told of what
-// this router holds, and decides alone, within its share, while an owner cannot be reached.
+// The entry's side of admission: reserves a target for each request at the shard's owner and reports to the owners what
+// this router holds. While an owner cannot be reached, this router places requests without it, within its local share.
 //
 //     reserver.reserve(now, PlacementRequest{request, pool, chatHash, PolicyKind::BoundedRendezvous, 125, {}}, outbox);
 //     reserver.receive(now, from, reply, outbox);
 //     for (const ReserveResult &result : reserver.takeResults()) { dispatch or refuse }
 //     reserver.release(now, request, outbox);            // at the end, or when the target turned out unusable
 //
-// On the wire, each try to reserve has an id of its own, derived from the request's: a release of the first try, late
-// or repeated, cannot undo the second. Messages to this router itself go through the outbox like all others.
+// On the wire, each attempt to reserve has its own id, derived from the request's id: a late or repeated release of the
+// first attempt cannot undo the second. Messages to this router itself go through the outbox like all others.
 
 #include "sequoiausher/coordination/admission/placementrequest.h"
 #include "sequoiausher/coordination/admission/shardmap.h"
@@ -19,25 +19,25 @@
 
 struct ReserverSettings
 {
-    /** How long an owner may take to answer before it is asked once more. */
+    /** How long an owner may take to answer before the request is sent again. */
     Millis replyTimeout{250};
-    /** How long to wait before asking again where lists disagree about the owner. */
+    /** Delay before asking again while the routers' lists disagree about the owner. */
     Millis notOwnerDelay{50};
     /**
-     * How long one reservation follows an owner that moves, before this router decides alone. Shorter than the dispatch
-     * window of a claim, which runs meanwhile.
+     * How long one reservation follows NotOwner answers before this router places the request locally. Must be shorter
+     * than the dispatch window of a claim, which runs at the same time.
      */
     Millis redirectTimeout{400};
-    /** How often one reservation is asked for without an answer. */
+    /** How often the request for one reservation is sent without an answer. */
     std::uint32_t maxAttempts = 3;
-    /** How long an owner that did not answer is not asked. */
+    /** How long no requests are sent to an owner that did not answer. */
     Millis unreachableTime{1000};
     Millis reportInterval{5000};
-    /** Whether digests go in place of reports to owners that take them. */
+    /** Whether owners that accept digests get digests instead of reports. */
     bool sendsDigests = true;
-    /** Loads older than this are not acted on alone. */
+    /** Local placement ignores reported loads older than this. */
     Millis reportedLoadTtl{3000};
-    /** What is told to a request refused because the owner could not be reached. */
+    /** Retry delay in the result of a request that was refused because the owner could not be reached. */
     Millis retryAfter{1000};
 
     bool operator==(const ReserverSettings &) const = default;
@@ -45,13 +45,13 @@
 
 enum class ReserveOutcome {
     Granted,
-    /** By this router alone, within its share. */
+    /** Placed by this router without the owner, within its local share. */
     GrantedLocally,
     /** Every target is at its bound or capacity. */
     Full,
-    /** There is no target that could be used. */
+    /** No target is live and usable for the request. */
     NoTarget,
-    /** The owner cannot be reached and this router's share is used up. */
+    /** The owner cannot be reached and this router's local share is used up. */
     Unreachable,
 };
 
@@ -64,14 +64,14 @@
     {ReserveOutcome::Unreachable, "unreachable"},
 });
 
-/** What became of a wanted request. */
+/** The result of one reservation. */
 struct ReserveResult
 {
     RequestId request;
     ReserveOutcome outcome = ReserveOutcome::Unreachable;
-    /** Set where granted. */
+    /** Set if granted. */
     TargetId target;
-    /** Set where refused. */
+    /** Set if refused. */
     Millis retryAfter;
 
     bool operator==(const ReserveResult &) const = default;
@@ -82,8 +82,8 @@
 {
 public:
     /**
-     * @param map must outlive this; after each change to it call handleMapChange().
-     * @param incarnation orders the reports of this life of the router after those of earlier ones.
+     * @param map must outlive this object; call handleMapChange() after each change of the map.
+     * @param incarnation increases with each start of the router and orders its reports after those of earlier starts.
      */
     Reserver(InstanceId self,
              Incarnation incarnation,
@@ -94,41 +94,41 @@
     Reserver(const Reserver &) = delete;
     Reserver &operator=(const Reserver &) = delete;
 
-    /** Starts a reservation; what the request held or asked for before is released. Ends in one result. */
+    /** Starts a reservation and releases the request's earlier one, if any. Each reservation ends in one result. */
     void reserve(Millis now, const PlacementRequest &wanted, Outbox &outbox);
 
-    /** Lets the request's target go, or gives up asking. A request that holds nothing is ignored. */
+    /** Releases the request's target or cancels its pending reservation. No effect if it has neither. */
     void release(Millis now, const RequestId &request, Outbox &outbox);
 
     void receive(Millis now, const InstanceId &from, const ReserveReply &message, Outbox &outbox);
 
-    /** The owner takes digests in place of reports, or wants the report that a digest stood for. */
+    /** Handles an owner's answer that it accepts digests, or that it needs the full report after a digest. */
     void receive(const InstanceId &from, const HoldingsAnswer &message, Outbox &outbox);
 
-    /** The map changed: new owners are told at once, and what was asked of an owner that is none is asked anew. */
+    /** Call after each change of the map: reports to new owners at once and moves pending reservations to them. */
     void handleMapChange(Millis now, Outbox &outbox);
 
-    /** The connection to the router broke and could not be renewed: do not wait for its answers. */
+    /** Call when the connection to the router broke and could not be renewed: stops waiting for its answers. */
     void markPeerUnreachable(Millis now, const InstanceId &peer, Outbox &outbox);
 
-    /** A connection to the router stands again: it may be asked. */
+    /** Call when a connection to the router is established again: the router may be asked at once. */
     void markPeerReachable(const InstanceId &peer);
 
-    /** A target's load, needed only for targets in targetsNeedingLoad(). */
+    /** Records the load that a target reported. Needed only for targets in targetsNeedingLoad(). */
     void recordLoad(const TargetId &target, const ReportedLoad &load);
 
     /**
-     * The targets whose load this router should ask for, as it may have to place requests on them alone: those of
-     * owners that cannot be reached, and of owners that have left a question without an answer.
+     * The targets whose load this router should query, since it may have to place requests on them without their owner:
+     * targets of owners that cannot be reached, and of owners that have not answered a request in time.
      */
     std::vector<TargetView> targetsNeedingLoad(Millis now) const;
 
-    /** Time-outs and reports. */
+    /** Handles timeouts and sends reports. */
     void tick(Millis now, Outbox &outbox);
     /** When tick() has work next. */
     Millis nextDeadline() const;
 
-    /** The results since the last call. */
+    /** Returns the results since the last call. */
     std::vector<ReserveResult> takeResults();
 
     /** How many reservations are held. */
--- a/sequoiausher/coordination/admission/reservertest.cpp
+++ b/sequoiausher/coordination/admission/reservertest.cpp
@@ -106,7 +106,7 @@
     }
 }
 
-TEST_CASE_FIXTURE(ReserverFixture, "the owner is told the hash of the prefix")
+TEST_CASE_FIXTURE(ReserverFixture, "the request to the owner has the hash of the prefix")
 {
     PlacementRequest wanted{RequestId{1, 1}, pool, 3, PolicyKind::PrefixRendezvous, 125, {}};
     wanted.prefixHash = 9;
@@ -114,7 +114,7 @@
     CHECK(this->sent<ReserveRequest>().at(0).prefixHash == 9);
 }
 
-TEST_CASE_FIXTURE(ReserverFixture, "a second try releases the first under an id of its own")
+TEST_CASE_FIXTURE(ReserverFixture, "a second attempt releases the first and has its own id")
 {
     this->reserve(Millis{0}, 1);
     const RequestId before = this->sent<ReserveRequest>().at(0).request;
@@ -126,9 +126,9 @@
     CHECK(std::get<ReserveRequest>(this->outbox[1].message).excluded.front() == first);
 }
 
-TEST_CASE_FIXTURE(ReserverFixture, "an owner that does not answer is asked again, then done without")
+TEST_CASE_FIXTURE(ReserverFixture, "without an answer the owner is asked again, then the request is placed locally")
 {
-    // Symptom: requests hang for as long as a dead owner stays in the lists. Cause: nobody answers and nobody decides.
+    // Guards against requests that hang while a dead owner is still in the lists, since nobody answers them.
     this->reserve(Millis{0}, 1);
     const RequestId reservation = this->sent<ReserveRequest>().at(0).request;
     for (int i = 1; i < 3; ++i) {
@@ -138,7 +138,7 @@
     this->reserver.tick(Millis{750}, this->outbox);
     CHECK(this->sent<Release>().at(0).request == reservation);
     CHECK(this->outcome() == ReserveOutcome::Unreachable);
-    // The next request does not wait at all, and with a known load some routers have a place.
+    // The next request does not wait at all, and with known loads this router has a local share.
     this->reserve(Millis{760}, 2);
     CHECK(this->outcome() == ReserveOutcome::Unreachable);
     CHECK(this->reserver.targetsNeedingLoad(Millis{760}).size() == 2);
@@ -148,14 +148,14 @@
     this->reserve(Millis{770}, 3);
     CHECK(this->outcome() == ReserveOutcome::GrantedLocally);
     CHECK(this->sent<ReserveRequest>().empty());
-    // Later the owner is asked again, and a late grant of what was given up is not taken.
+    // Later the owner is asked again, and a late grant of the cancelled reservation is ignored.
     this->answer(Millis{1800}, reservation, ReserveVerdict::Granted);
     CHECK(this->reserver.held() == 1);
     this->reserve(Millis{1800}, 4);
     CHECK(this->sent<ReserveRequest>().size() == 1);
 }
 
-TEST_CASE_FIXTURE(ReserverFixture, "where lists disagree it asks again until they agree")
+TEST_CASE_FIXTURE(ReserverFixture, "a reservation is retried while the lists disagree about the owner")
 {
     this->reserve(Millis{0}, 1);
     this->answer(Millis{1}, this->sent<ReserveRequest>().at(0).request, ReserveVerdict::NotOwner);
@@ -170,7 +170,7 @@
     CHECK(this->outcome() == ReserveOutcome::Granted);
 }
 
-TEST_CASE_FIXTURE(ReserverFixture, "owners are told what is held and what is asked, and a last time when it is nothing")
+TEST_CASE_FIXTURE(ReserverFixture, "reports list what is held and what is pending, and the last one is empty")
 {
     this->reserve(Millis{0}, 1);
     const RequestId reservation = this->sent<ReserveRequest>().at(0).request;
@@ -189,7 +189,7 @@
     CHECK(this->outbox.empty());
 }
 
-TEST_CASE_FIXTURE(ReserverFixture, "a broken link does not keep a request waiting")
+TEST_CASE_FIXTURE(ReserverFixture, "a broken connection to the owner does not keep a request waiting")
 {
     this->reserve(Millis{0}, 1);
     this->reserver.markPeerUnreachable(Millis{5}, this->owner(), this->outbox);
@@ -200,11 +200,11 @@
     CHECK(this->reserver.takeResults().back().outcome == ReserveOutcome::NoTarget);
 }
 
-TEST_CASE_FIXTURE(ReserverFixture, "the owner that a former owner names is asked at once")
+TEST_CASE_FIXTURE(ReserverFixture, "the owner named in a NotOwner answer is asked at once")
 {
-    // Symptom: pool_full in a planned stop, while every target has room. Sequence: a router returns; the shard's owner
-    // learns it and gives the shard up; this router's list names that owner for a second more. Cause: three refusals of
-    // the one known owner counted as an owner that cannot be reached.
+    // Guards against pool_full in a planned stop while every target has room: a router returns, the shard's owner
+    // notices and gives the shard up, but this router's list names that owner for another second. Three NotOwner
+    // answers of the only known owner must not count as an owner that cannot be reached.
     this->reserve(Millis{0}, 1);
     const RequestId before = this->sent<ReserveRequest>().at(0).request;
     const InstanceId returned{"r9"};
@@ -212,7 +212,7 @@
     this->reserver.receive(Millis{1}, this->owner(), moved, this->outbox);
     this->reserver.receive(Millis{1}, this->owner(), moved, this->outbox);
     REQUIRE(this->outbox.size() == 2);
-    // A copy of the question may reach the former owner once it owns the shard again, and must get nothing then.
+    // A copy of the request may reach the former owner once it owns the shard again, and must not be granted a place.
     CHECK(this->outbox.front().to == this->owner());
     CHECK(std::get<Release>(this->outbox.front().message).request == before);
     CHECK(this->outbox.back().to == returned);
@@ -221,12 +221,12 @@
     this->reserver.receive(
         Millis{2}, returned, ReserveReply{asked, ReserveVerdict::Granted, first, Millis{}, {}}, this->outbox);
     CHECK(this->outcome() == ReserveOutcome::Granted);
-    // What it granted is released there too, whoever owns the shard by the list.
+    // The reservation is also released at the router that granted it, even if the list names another owner.
     this->reserver.release(Millis{3}, RequestId{1, 1}, this->outbox);
     CHECK(this->outbox.back().to == returned);
 }
 
-TEST_CASE_FIXTURE(ReserverFixture, "owners that name each other are followed for a bounded time, then done without")
+TEST_CASE_FIXTURE(ReserverFixture, "owners that name each other are followed for a bounded time, then not asked again")
 {
     this->reserve(Millis{0}, 1);
     std::size_t asked = 0;
@@ -248,11 +248,11 @@
     CHECK(asked <= 20);
 }
 
-TEST_CASE_FIXTURE(ReserverFixture, "a router whose life before ended as planned is asked when it is back")
+TEST_CASE_FIXTURE(ReserverFixture, "a router that returns after a planned stop is asked at once")
 {
-    // Symptom: refusals for up to a second after each return. Sequence: a leaving router's process ends and its
-    // connections with it; a new process of the name starts within the second and owns its shards. Cause: the end of
-    // the old connection marked the name as unreachable.
+    // Guards against refusals for up to a second after each return: a leaving router's process ends with its
+    // connections, and a new process of the same name starts within a second and owns its shards. The end of the old
+    // connection must not mark the name as unreachable.
     const std::vector<InstanceId> all{self, InstanceId{"r1"}, InstanceId{"r2"}};
     const InstanceId stopped = this->owner();
     std::vector<InstanceId> rest = all;
@@ -266,7 +266,7 @@
     CHECK(this->reserver.takeResults().empty());
 }
 
-TEST_CASE_FIXTURE(ReserverFixture, "a router that died and is connected again is asked at once")
+TEST_CASE_FIXTURE(ReserverFixture, "a router that died and has connected again is asked at once")
 {
     this->reserver.markPeerUnreachable(Millis{10}, this->owner(), this->outbox);
     this->reserver.markPeerReachable(this->owner());
@@ -275,10 +275,10 @@
     CHECK(this->reserver.takeResults().empty());
 }
 
-TEST_CASE_FIXTURE(ReserverFixture, "the loads of a late owner's targets are asked for before it is done without")
+TEST_CASE_FIXTURE(ReserverFixture, "the loads of a late owner's targets are queried before requests are placed locally")
 {
-    // Symptom: refusals just after an owner's death, while targets have room. Cause: loads were asked for only when the
-    // first requests had been placed without them.
+    // Guards against refusals just after an owner's death while targets have room: if loads are queried only after the
+    // first local placements, these have no loads.
     this->reserve(Millis{0}, 1);
     this->reserver.tick(Millis{100}, this->outbox);
     CHECK(this->reserver.targetsNeedingLoad(Millis{100}).empty());
@@ -292,7 +292,7 @@
     CHECK(this->outcome() == ReserveOutcome::GrantedLocally);
 }
 
-TEST_CASE_FIXTURE(ReserverFixture, "a reservation tells its class and organisation")
+TEST_CASE_FIXTURE(ReserverFixture, "the request to the owner has the class and the organisation")
 {
     PlacementRequest wanted{RequestId{1, 1}, pool, 3};
     wanted.requestClass = RequestClass::Urgent;
@@ -303,9 +303,9 @@
     CHECK(sent.organisation == 77);
 }
 
-// Symptom: an engine computes for a caller that has hung up. Sequence: a request waits at the owner; its time passes;
-// then it gets a place. Cause: only those that wait at the router were checked.
-TEST_CASE_FIXTURE(ReserverFixture, "a reservation is given up when its time is over, and its place with it")
+// Guards against an engine that computes for a caller that has hung up: a request waits at the owner past its deadline
+// and then gets a place, if only requests that wait at the router are checked for their deadline.
+TEST_CASE_FIXTURE(ReserverFixture, "a reservation is cancelled at its deadline, and a place granted later is not kept")
 {
     PlacementRequest wanted{RequestId{1, 1}, pool, 3};
     wanted.giveUpAt = Millis{60};
--- a/sequoiausher/coordination/admission/shardmap.cpp
+++ b/sequoiausher/coordination/admission/shardmap.cpp
@@ -61,7 +61,8 @@
         total += sum->second.inFlight;
         targets += sum->second.targets;
     }
-    // One request more than the share: without it, the first request of a quiet pool would count as an overflow.
+    // Allows one request per target more than the percentage: otherwise the first request of an idle pool would
+    // overload its shard.
     return std::uint64_t{own->second.inFlight} * targets * 100
         > (total * this->settings.overflowPercent + targets * 100) * own->second.targets;
 }
@@ -174,7 +175,8 @@
         return std::nullopt;
     }
     const ShardedPool &sharded = found->second;
-    // The best weight of each shard; the shard of the best target comes first, the next shard second.
+    // The highest weight of any live target of each shard. The shard with the highest weight is the chat's first shard,
+    // the next one its second.
     std::vector<std::optional<std::uint64_t>> weights(sharded.shards);
     for (std::size_t i = 0; i < sharded.shardOf.size(); ++i) {
         if (sharded.view->targets[i].description.life.state == LifeState::Live) {
--- a/sequoiausher/coordination/admission/shardmap.h
+++ b/sequoiausher/coordination/admission/shardmap.h
@@ -1,17 +1,17 @@
 #pragma once
 
-// Which part of a pool a target or a chat belongs to, and which router owns that part.
+// Divides pools into shards: which shard a target or a chat belongs to, and which router owns the shard.
 //
 //     map.setInstances(live);
 //     map.setPool(view);
 //     const ShardRoute route = map.routeOf(pool, chatHash);   // {shard, owner}
 //
 // Everything is computed from the published lists alone, without history, so routers with the same lists agree. A pool
-// of n listed targets has ceil(n / targetsPerShard) shards. A target's shard comes from its name by jump consistent
-// hash, so that one shard more moves only one target in so many; that is what a stateful hysteresis would buy, but
-// routers that started at different times would remember different histories and disagree for good. A chat's shard
-// is that of its first target in rendezvous order: shards get chats in proportion to their targets, and how a pool is
-// cut does not change where a chat goes.
+// of n listed targets has ceil(n / targetsPerShard) shards. A target's shard is a jump consistent hash of the target's
+// name, so that growing to n shards moves only one target in n. A stateful hysteresis would also move few targets, but
+// routers that started at different times would have different histories and disagree for good. A chat's shard is that
+// of the chat's first target in rendezvous order: shards get chats in proportion to their targets, and the division of
+// a pool into shards does not change the target of a chat.
 
 #include "sequoiausher/coordination/messages/membershipmessages.h"
 #include "sequoiausher/state/targets/targettable.h"
@@ -31,9 +31,9 @@
 
 struct ShardSettings
 {
-    /** How many targets one owner counts, about. docs/design/balance.md has the arithmetic. */
+    /** Approximate number of targets of one shard. docs/design/balance.md has the arithmetic. */
     std::uint32_t targetsPerShard = 16;
-    /** A shard whose mean is above this share of the pool's mean, in percent, sends its chats to their second shard. */
+    /** A shard is overloaded, and its chats go to their second shard, above this percentage of the pool's mean load. */
     std::uint32_t overflowPercent = 110;
 
     bool operator==(const ShardSettings &) const = default;
@@ -43,13 +43,13 @@
 struct ShardRoute
 {
     ShardId shard;
-    /** Empty where no router is live. */
+    /** Empty if no router is live. */
     InstanceId owner;
 
     bool operator==(const ShardRoute &) const = default;
 };
 
-/** The shards by the lists that this router knows. */
+/** The shards by this router's lists. */
 class ShardMap
 {
 public:
@@ -58,35 +58,36 @@
     ShardMap(const ShardMap &) = delete;
     ShardMap &operator=(const ShardMap &) = delete;
 
-    /** The live routers, in any order. */
+    /** Sets the live routers, in any order. */
     void setInstances(const std::vector<InstanceId> &live);
     const std::vector<InstanceId> &instances() const;
 
-    /** A pool's view, new or changed. */
+    /** Adds a pool or replaces its view. */
     void setPool(const std::shared_ptr<const PoolView> &view);
     void removePool(const PoolId &pool);
 
-    /** What an owner said on a heartbeat. */
+    /** Records a shard's sum from a heartbeat of its owner. */
     void recordSum(const ShardSum &sum);
-    /** The last sum heard of the shard, or none. */
+    /** The last sum recorded for the shard, or none. */
     std::optional<ShardSum> sum(const ShardId &shard) const;
 
-    /** 0 where the pool is not known. */
+    /** The number of shards of the pool, 0 if the pool is not known. */
     std::uint32_t shardCount(const PoolId &pool) const;
     std::uint32_t shardOfTarget(const PoolId &pool, const TargetId &target) const;
 
     /** Every shard of every known pool. */
     std::vector<ShardId> shards() const;
 
-    /** The targets of one shard, leaving ones too. */
+    /** The targets of one shard, including leaving ones. */
     std::vector<TargetView> targetsOf(const ShardId &shard) const;
 
-    /** The router that owns the shard by this list; empty where none is live. */
+    /** The router that owns the shard by this router's list; empty if no router is live. */
     InstanceId ownerOf(const ShardId &shard) const;
 
     /**
-     * Where the chat asks: its first shard, or its second while the first is overfull by the sums heard.
-     * @return none where the pool has no live target.
+     * Where to reserve a target for the chat: in its first shard, or in its second while the first is overloaded by the
+     * recorded sums and the second is not.
+     * @return none if the pool has no live target.
      */
     std::optional<ShardRoute> routeOf(const PoolId &pool, std::uint64_t chatHash) const;
 
--- a/sequoiausher/coordination/admission/shardmaptest.cpp
+++ b/sequoiausher/coordination/admission/shardmaptest.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE("today's pools are one shard, and every router names the same owner")
+TEST_CASE("a pool of 12 targets is one shard, and every router names the same owner")
 {
     ShardMap one{ShardSettings{}};
     ShardMap other{ShardSettings{}};
@@ -39,7 +39,7 @@
     CHECK(one.shards().empty());
 }
 
-TEST_CASE("one shard more moves few targets, and chats follow the number of targets")
+TEST_CASE("adding a shard moves few targets, and shards get chats in proportion to their targets")
 {
     ShardMap before{ShardSettings{}};
     ShardMap after{ShardSettings{}};
@@ -65,7 +65,7 @@
     }
 }
 
-TEST_CASE("an overfull shard sends its chats to their second shard, until its sum falls")
+TEST_CASE("chats of an overloaded shard go to their second shard until the sum of the first falls")
 {
     ShardMap map{ShardSettings{}};
     map.setPool(viewOf(64));
--- a/sequoiausher/coordination/admission/shardowner.cpp
+++ b/sequoiausher/coordination/admission/shardowner.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-// 17 million chats on 625 shards are 27,000 for each.
+// 17 million chats on 625 shards are 27,000 chats for each shard.
 constexpr std::size_t maxRecentChats = 32768;
 
 struct CountedReservation
@@ -46,7 +46,10 @@
     TargetCount count;
 };
 
-/** What a round over the waiting reservations found to be full: this class and those below it, up to this bound. */
+/**
+ * Found in one pass over the waiting reservations: no target has room for requests of this class or a lower one with
+ * this bound or a smaller one.
+ */
 struct FullThreshold
 {
     std::optional<RequestClass> effectiveClass;
@@ -86,17 +89,17 @@
     Millis createdAt;
     std::vector<TargetState> targetStates;
     std::unordered_map<TargetId, std::size_t> indexOfTarget;
-    /** Parallel to targetStates; filled anew for each choice, kept to spare the allocations. */
+    /** Parallel to targetStates. Filled for each choice; a member only to avoid the allocations. */
     PoolLoad load;
-    /** The sum of what each live target may carry at most, where load.total is the likely one. */
+    /** Upper estimate of what the live targets carry; load.total is the likely value. */
     std::uint64_t maxLoadTotal = 0;
-    /** By heartbeats; no targets where the shard is the whole pool. */
+    /** From heartbeats; poolTargets is 0 if the shard is the whole pool. */
     std::uint64_t poolTotal = 0;
     std::uint64_t poolTargets = 0;
     std::unordered_map<RequestId, CountedReservation> held;
     std::map<InstanceId, EntryState> entries;
     std::vector<InstanceId> awaitedEntries;
-    /** Until when each entry whose connection broke is taken for dead in the mean. */
+    /** Entries whose connection broke; until this time the mean does not include their reservations. */
     std::map<InstanceId, Millis> suspectedUntil;
     bool entriesKnown = false;
     std::unordered_set<RequestId> released;
@@ -104,13 +107,13 @@
     std::map<PolicyKind, std::unique_ptr<Policy>> policies;
     WaitingList waiting;
     /**
-     * Of those that waited. Goes wrong without it: an entry asks again while the answer of full is on its way, the
-     * second is granted, the entry hears full first and takes the grant for a late one; its place leaks until the
-     * entry's next report.
+     * Requests refused after waiting. Without this record, an entry may ask again while the Full answer is on its way,
+     * and the repeated request is granted. The entry receives Full first and ignores the grant as late, so the place
+     * leaks until the entry's next report.
      */
     RecentRequests refused;
     OrganisationShares shares;
-    /** What the live targets take at a time, without those that do not say. */
+    /** Total capacity of the live targets, without those that state none. */
     std::uint64_t capacity = 0;
     RecentChats chats{maxRecentChats};
 };
@@ -128,8 +131,8 @@
 
 std::uint32_t ShardOwner::Private::estimate(const TargetState &targetState, Millis now) const
 {
-    // Measured before this router took over, a report cannot be told apart from what ended or began since; once all
-    // entries have spoken, the counts alone are better.
+    // A report measured before this owner started has no count of its time to be compared with, so work that began or
+    // ended since would be counted wrongly. Once all entries have reported, the counts alone are more accurate.
     const Millis oldest = now - this->settings.reportedLoadTtl;
     return targetState.count.estimate(this->isSettled(now) ? std::max(oldest, this->createdAt) : oldest);
 }
@@ -144,7 +147,7 @@
         const TargetState &targetState = this->targetStates[i];
         TargetLoad &seen = this->load.targets[i];
         const std::uint32_t estimated = this->estimate(targetState, now);
-        // What is counted may be on its way to the target, so a lower report takes nothing off.
+        // Counted requests may still be on their way to the target, so a lower report does not reduce the count.
         seen.inFlight = std::max(targetState.count.counted(), estimated);
         seen.reported = targetState.count.reported();
         if (targetState.state == LifeState::Live) {
@@ -155,14 +158,14 @@
         }
     }
     this->load.total -= std::min(this->load.total, this->suspectedLoad(now));
-    // The mean of the high counts, so that some target has room whatever the reports say.
+    // Uses the mean of the upper estimates, so that some target has room even if the reports are too low.
     this->load.lowestBound = loadBound(minimumBoundPercent, this->maxLoadTotal, this->load.counted);
 }
 
-// What goes wrong: an entry dies, all its streams end together, and the reports that tell it lag by up to a second.
-// Until then the mean stands too high, and targets are filled to a bound that the true mean no longer allows; it shows
-// as the highest load over the mean just after each death. With the smaller mean the bound is safe whether it died or
-// not.
+// When an entry dies, all its streams end together, and the target reports that show this lag by up to a second. Until
+// then the mean would be too high, and targets would be filled to a bound that the true mean no longer allows: the
+// highest load over the mean would occur just after each death. With the smaller mean, the bound holds whether the
+// entry died or not.
 std::uint64_t ShardOwner::Private::suspectedLoad(Millis now) const
 {
     std::uint64_t holdings = 0;
@@ -190,7 +193,7 @@
 
 std::uint64_t ShardOwner::Private::bound(std::uint32_t percent) const
 {
-    // A release under way makes the total one too high, so the new request itself is not added to it.
+    // A release under way makes the total one too high, so the new request itself is not added to the total.
     std::uint64_t limit = loadBound(percent, std::max(this->load.total, std::uint64_t{1}) - 1, this->load.counted);
     if (this->poolTargets > 0) {
         limit = std::min(limit, loadBound(percent, this->poolTotal, this->poolTargets));
@@ -198,7 +201,7 @@
     return std::max(limit, this->load.lowestBound);
 }
 
-/** The class by which places are kept from the request. */
+/** The class that decides how many places are kept from the request. */
 RequestClass ShardOwner::Private::effectiveClass(const ReserveRequest &message) const
 {
     if (message.requestClass != RequestClass::Interactive) {
@@ -207,8 +210,8 @@
     if (this->shares.isAboveShare(message.organisation, this->capacity)) {
         return RequestClass::Background;
     }
-    // What is above is held off by more places than are kept from interactive requests, so those of the quiet ones
-    // need not be held off as well.
+    // Organisations above their share are kept from more places than other interactive requests are, so no places need
+    // to be kept from organisations below their share.
     const bool isQuiet = this->shares.isBelowShare(message.organisation, this->capacity);
     return isQuiet && this->shares.isAnyAboveShare(this->capacity) ? RequestClass::Urgent : RequestClass::Interactive;
 }
@@ -234,7 +237,7 @@
     this->shares.add(reservation.organisation);
 }
 
-/** @return the target that the request was on, empty where it is not held. */
+/** @return the target of the reservation, empty if it is not counted. */
 TargetId ShardOwner::Private::removeReservation(const RequestId &request)
 {
     const auto entry = this->held.find(request);
@@ -248,7 +251,7 @@
     return target;
 }
 
-/** No longer counts a request that this owner should not have counted, or no longer can. */
+/** Removes a reservation that was not released by its entry; the target's load may not have changed. */
 void ShardOwner::Private::discardReservation(const RequestId &request)
 {
     if (TargetState *targetState = this->find(this->removeReservation(request))) {
@@ -291,7 +294,7 @@
     return ReserveReply{message.request, ReserveVerdict::Granted, target, Millis{}};
 }
 
-/** @return whether it was answered. */
+/** @return whether the reservation was answered. */
 bool ShardOwner::Private::grantWaiting(Millis now,
                                        const WaitingReservation &waitingReservation,
                                        FullThreshold &full,
@@ -299,7 +302,7 @@
 {
     const ReserveRequest &message = waitingReservation.message;
     const RequestClass effectiveClass = this->effectiveClass(message);
-    // Goes wrong otherwise: each release of a full shard would look at all its targets once for each that waits.
+    // Otherwise each release in a full shard would examine all targets once for each waiting reservation.
     if (full.effectiveClass && effectiveClass >= *full.effectiveClass && message.boundPercent <= full.boundPercent) {
         return false;
     }
@@ -373,7 +376,7 @@
         this->d->load.targets.push_back(TargetLoad{name, target.hash, 0, 0, true});
     }
     for (const auto &entry : this->d->held) {
-        // Held already on a target that comes back to this shard.
+        // Reservations may already be held on a target that returns to this shard.
         TargetState *targetState = this->d->find(entry.second.target);
         if (targetState != nullptr && !indexBefore.contains(entry.second.target)) {
             targetState->count.adjustCounted(1);
@@ -410,8 +413,8 @@
     }
     const std::vector<RequestId> lost(known->second.held.begin(), known->second.held.end());
     for (const RequestId &request : lost) {
-        // Goes wrong if this counted as a release: a target may run the dead entry's streams until it notices the
-        // broken connections, and would be given others on top. Its next report tells.
+        // Not counted as a release: a target may run the dead entry's streams until it notices the broken connections,
+        // and would be given other requests on top. The target's next report shows when they have ended.
         this->d->discardReservation(request);
     }
     this->d->entries.erase(entry);
@@ -431,7 +434,8 @@
 
 void ShardOwner::receive(Millis now, const InstanceId &from, const ReserveRequest &message, Outbox &outbox)
 {
-    // A release may overtake its reservation on another connection; counting it now would leak until the next report.
+    // A release may overtake its reservation on another connection; counting the reservation now would leak a place
+    // until the entry's next report.
     if (this->d->released.contains(message.request)) {
         return;
     }
@@ -508,7 +512,7 @@
         }
     }
     for (const Holding &holding : message.holdings) {
-        // Without a target the entry has asked and waits for the answer: known or not, there is nothing to add.
+        // A holding without a target is a reservation that still waits for its answer, so there is nothing to add.
         const bool isCountable = !holding.target.empty() && !this->d->released.contains(holding.request);
         if (isCountable && !this->d->held.contains(holding.request)) {
             this->d->countReservation(holding.request, CountedReservation{from, holding.target, now});
--- a/sequoiausher/coordination/admission/shardowner.h
+++ b/sequoiausher/coordination/admission/shardowner.h
@@ -1,19 +1,21 @@
 #pragma once
 
-// The one router that counts what is in flight on the targets of a shard, and chooses targets by these counts.
+// Counts what is in flight on the targets of one shard and chooses targets by these counts. Each shard has one owner
+// among the routers; an entry is a router that reserves targets for the requests of its clients.
 //
 //     ShardOwner owner(shard, OwnerSettings{}, seed, now);
 //     owner.setTargets(now, map.targetsOf(shard));
 //     owner.setEntries(map.instances());
 //     owner.receive(now, from, reserveRequest, outbox);   // outbox: ReserveReply
 //
-// Whatever the policy, a settled owner grants a target only while its count stays within loadBound() of the shard.
-// Counts are soft state: each entry reports what it holds, and the report replaces what was counted for it.
+// With any policy, a settled owner grants a target only while the target's count stays within loadBound() of the shard.
+// The counts are soft state: each entry reports what it holds, and the report replaces what was counted for the entry.
 //
-// A target's own report corrects the counts. It lags, so it is compared with what was counted when it was measured:
-// the difference is work that the owner does not know of (a new owner before the entries have spoken, streams of a dead
-// entry, another owner in a partition) or counts too much (a dead entry not yet noticed), and is carried on until the
-// next report. A target's bound goes by the larger of count and corrected count, the mean by the corrected ones.
+// The load that a target reports itself corrects its count. Reports lag, so a report is compared with the count at the
+// time of its measurement. The difference is either work that the owner does not know of (a new owner before the
+// entries have reported, streams of a dead entry, another owner in a partition) or work that the owner counts although
+// it has ended (an entry whose death was not noticed yet). This difference is added to the count until the next report.
+// The load of a single target is the larger of count and corrected count, the mean is taken over the corrected counts.
 
 #include "sequoiausher/coordination/admission/shardmap.h"
 #include "sequoiausher/coordination/messages/peermessage.h"
@@ -22,35 +24,35 @@
 
 struct OwnerSettings
 {
-    /** An entry that holds something and says nothing for this long is taken for dead. Three report intervals. */
+    /** An entry that holds something and sends no message for this long counts as dead. Three report intervals. */
     Millis entryTimeout{15000};
-    /** A new owner trusts its counts after this long, though not every entry has reported. */
+    /** A new owner counts as settled after this long, even if some entries have not reported. */
     Millis settleTime{10000};
-    /** Reported loads older than this say nothing. */
+    /** Loads reported by targets are ignored once they are older than this. */
     Millis reportedLoadTtl{3000};
-    /** A grant younger than this survives a report without it: the report may have been sent before. */
+    /** A grant younger than this stays counted if a report lacks it: the report may have been sent before the grant. */
     Millis reportGrace{2000};
-    /** How long a release is remembered for a reservation that arrives after it. */
+    /** How long a release is remembered, to ignore a reservation that arrives after its own release. */
     Millis releaseTtl{30000};
-    /** A chat not seen before is taken for new only after this long: a new owner knows no chats. */
+    /** Unknown chats count as new only once the owner is this old: a new owner has not seen the existing chats yet. */
     Millis chatWarmupTime{60000};
     /**
-     * How long what an entry holds is out of the mean after its connection broke: the targets' reports tell by then
-     * what became of its streams.
+     * How long the reservations of an entry are left out of the mean after its connection broke. By then, the targets'
+     * reports show whether its streams have ended.
      */
     Millis suspicionTime{2000};
-    /** What a full shard tells the entry. */
+    /** Sent with the refusal by a full shard: the time after which the entry may ask again. */
     Millis retryAfter{1000};
     /**
-     * How long a reservation that finds no room waits for a place before it hears so; 0: it hears so at once. Well
-     * below the time after which entries ask again.
+     * How long a reservation that finds no room waits for a place before it is refused; with 0, it is refused at once.
+     * Must be well below the time after which entries repeat an unanswered request.
      */
     Millis maxWaitTime{0};
-    /** At most this many wait. */
+    /** At most this many reservations wait for a place. */
     std::size_t maxWaiting = 256;
-    /** How long an answer of full is remembered and repeated; longer than an entry asks for one reservation. */
+    /** How long a Full answer is remembered and repeated; longer than an entry keeps asking for one reservation. */
     Millis refusalTtl{5000};
-    /** What is told to one that waited so long: it may ask again at once. */
+    /** Sent with the refusal of a reservation that waited for maxWaitTime: the entry may ask again at once. */
     Millis retryAfterWaiting{1};
 
     bool operator==(const OwnerSettings &) const = default;
@@ -61,11 +63,11 @@
 {
 public:
     /**
-     * How many of a target's places are kept for classes more important than this one: none from urgent
-     * ones, a sixteenth from interactive ones, three sixteenths from background ones, rounded down. Without them a
-     * freed place goes to whoever asks first, and an urgent request waits at one router while others send background
-     * work. Source: trunk reservation, as in telephone networks (Akinpelu, 1984). The interactive requests of an
-     * organisation that holds far more than its share count as background here (organisationshares.h).
+     * How many of a target's places are kept for classes more important than this one. No places are kept from urgent
+     * requests, a sixteenth from interactive ones and three sixteenths from background ones, rounded down. Otherwise a
+     * freed place would go to the next request that arrives, and an urgent request would wait at one router while other
+     * routers send background work. Source: trunk reservation, as in telephone networks (Akinpelu, 1984). Interactive
+     * requests of an organisation that holds far more than its share count as background here (organisationshares.h).
      */
     static std::uint32_t keptPlaces(RequestClass requestClass, std::uint32_t capacity);
 
@@ -74,66 +76,70 @@
     ShardOwner(const ShardOwner &) = delete;
     ShardOwner &operator=(const ShardOwner &) = delete;
 
-    /** The shard's targets; those that are leaving get nothing new but are counted until they are empty. */
+    /** Sets the shard's targets. Leaving targets get no new requests but are counted until they are empty. */
     void setTargets(Millis now, const std::vector<TargetView> &targets);
 
-    /** The live routers. The owner is unsettled until each of those given first has reported or left the list. */
+    /**
+     * Sets the live routers. The owner is unsettled until each router of the first call has reported or is missing from
+     * a later call.
+     */
     void setEntries(const std::vector<InstanceId> &entries);
 
     /**
-     * What is in flight in the whole pool by the last heartbeats, where the pool has several shards: the shard's
-     * targets are then kept below the multiple of the pool's mean too, unless that leaves no target with room.
+     * Sets what is in flight in the whole pool, and the pool's number of targets, both by the last heartbeats. For a
+     * pool of several shards: the load of the shard's targets is then also bounded by the multiple of the pool's mean,
+     * unless that leaves no target with room. 0 targets: no such bound.
      */
     void setPoolLoad(std::uint64_t total, std::uint64_t targets);
 
-    /** The entry is known to have died: what it held is no longer counted. */
+    /** Removes an entry that is known to have died: its reservations are no longer counted. */
     void dropEntry(const InstanceId &entry);
 
     /**
-     * The connection to the entry broke, so its streams may end at once. For a while, or until it is heard again, what
-     * it holds counts on its targets but not in the mean.
+     * Call when the connection to the entry broke, since all streams of the entry may have ended. For suspicionTime, or
+     * until the entry sends a message, its reservations count on their targets but not in the mean.
      */
     void suspectEntry(Millis now, const InstanceId &entry);
 
-    /** What a target said of its load, measured at measuredAt by this process's clock. */
+    /** Records the load that a target reported, measured at measuredAt by this process's clock. */
     void reportLoad(const TargetId &target, std::uint32_t load, Millis measuredAt);
 
     /**
-     * Answers with a ReserveReply, but for a reservation that was released before it arrived, and one that waits for a
-     * place: serveWaiting() answers that later.
+     * Answers with a ReserveReply, with two exceptions: a reservation that was released before it arrived gets no
+     * answer, and a reservation that waits for a place is answered later by serveWaiting().
      */
     void receive(Millis now, const InstanceId &from, const ReserveRequest &message, Outbox &outbox);
     void receive(Millis now, const InstanceId &from, const Release &message);
     void receive(Millis now, const InstanceId &from, const HoldingsReport &message);
 
     /**
-     * Compares a digest with what is counted for the entry. @return whether a report is wanted, since it could change
-     * something; where the two are the same, the digest has all effects of such a report.
+     * Compares a digest with what is counted for the entry. If both are equal, the digest has all effects of a report.
+     * @return whether they differ, so that the entry must be asked for the full report.
      */
     bool receive(Millis now, const InstanceId &from, const HoldingsDigest &message);
 
     /**
-     * Gives places that came free to those that wait, in the order of waitinglist.h, and answers those that waited for
-     * too long. Call after each message and when time has passed.
+     * Grants free places to waiting reservations in the order of waitinglist.h, and refuses those that waited for
+     * maxWaitTime. Call after each message and when time has passed.
      */
     void serveWaiting(Millis now, Outbox &outbox);
 
-    /** Drops silent entries and old memories. Call about once a second. */
+    /** Drops silent entries and expired records. Call about once a second. */
     void tick(Millis now);
 
-    /** Whether the counts are complete as far as the owner can know. */
+    /** Whether every entry has reported, or settleTime has passed since the start. */
     bool isSettled(Millis now) const;
 
-    /** For heartbeats: what counts on the live targets. */
+    /** For heartbeats: the number of live targets and the sum of their corrected counts. */
     ShardSum sum(Millis now) const;
 
-    /** Reservations counted on the target, whatever the target reports. */
+    /** Reservations counted on the target, not corrected by the target's reports. */
     std::uint32_t counted(const TargetId &target) const;
 
     /** How many reservations wait for a place. */
     std::size_t waiting() const;
 
-    /** All reservations counted. */
+    /** How many reservations are counted on all targets. */
     std::size_t holdings() const;
 
 private:
--- a/sequoiausher/coordination/admission/shardownertest.cpp
+++ b/sequoiausher/coordination/admission/shardownertest.cpp
@@ -55,8 +55,8 @@
 
 } // namespace
 
-// Symptom: an urgent request waits at one router while others send background work. Sequence: the pool is full; each
-// place that comes free goes to whoever asks first. Cause: the owner knew no classes.
+// Guards against urgent requests that wait at one router while other routers send background work: in a full pool, an
+// owner that ignores classes gives each freed place to the next request that arrives.
 TEST_CASE_FIXTURE(OwnerFixture, "the last places of a target are kept for the more important classes")
 {
     constexpr std::uint32_t capacity = 16;
@@ -77,7 +77,7 @@
     CHECK(granted(RequestClass::Background) == 13);
     CHECK(granted(RequestClass::Interactive) == 2);
     CHECK(granted(RequestClass::Urgent) == 1);
-    // A target with few places keeps none, or nobody else would ever get one.
+    // A target with few places keeps none, otherwise less important classes would never get a place.
     CHECK(ShardOwner::keptPlaces(RequestClass::Background, 1) == 0);
 }
 
@@ -121,8 +121,8 @@
 
 TEST_CASE_FIXTURE(OwnerFixture, "a release that overtakes its reservation leaves nothing counted")
 {
-    // Symptom: a target counts one too many for good. The entry gave up on a slow answer; the release came over a new
-    // connection, before the reservation. Cause: the late reservation would be granted to nobody.
+    // Guards against a target that counts one reservation too many for ever: the entry gives up on a slow answer, its
+    // release arrives over a new connection before the reservation, and the reservation is then granted to nobody.
     this->owner.receive(Millis{1}, entry, Release{RequestId{0, 5}, pool, 0});
     CHECK_FALSE(this->ask(Millis{2}, 5).has_value());
     CHECK(this->owner.holdings() == 0);
@@ -140,25 +140,25 @@
     CHECK(this->owner.sum(Millis{1}) == ShardSum{pool, 0, 2, 1});
 }
 
-TEST_CASE_FIXTURE(OwnerFixture, "a report replaces what was counted, but not what it could not know")
+TEST_CASE_FIXTURE(OwnerFixture, "a report replaces the counted reservations except grants younger than the report")
 {
     this->grant(Millis{0});
     this->grant(Millis{0});
     this->owner.receive(Millis{5000}, entry, HoldingsReport{pool, 0, 2, {{RequestId{0, 1}, TargetId{"a"}}}});
     CHECK(this->owner.holdings() == 1);
     this->grant(Millis{6000});
-    // Sent before the grant reached the entry.
+    // This report was sent before the grant reached the entry.
     this->owner.receive(Millis{6001}, entry, HoldingsReport{pool, 0, 3, {{RequestId{0, 1}, TargetId{"a"}}}});
     CHECK(this->owner.holdings() == 2);
-    // An older report, late.
+    // An older report that arrives late.
     this->owner.receive(Millis{9999}, entry, HoldingsReport{pool, 0, 2, {}});
     CHECK(this->owner.holdings() == 2);
 }
 
-TEST_CASE_FIXTURE(OwnerFixture, "what a dead entry held is dropped, but its target's own report counts for a while")
+TEST_CASE_FIXTURE(OwnerFixture, "reservations of a dead entry are dropped, but the target's report counts for a while")
 {
-    // Symptom: an engine that still runs a dead router's streams is given as many again. Cause: the count falls at
-    // once, the engine notices its broken connections later.
+    // Guards against an engine that still runs a dead router's streams and gets as many requests again: the count falls
+    // at once, but the engine notices its broken connections later.
     for (int i = 0; i < 10; ++i) {
         this->grant(Millis{0});
     }
@@ -171,7 +171,7 @@
     CHECK(this->owner.sum(Millis{20000}).inFlight == 1);
 }
 
-TEST_CASE_FIXTURE(OwnerFixture, "an entry that falls silent is dropped, one that reports is kept")
+TEST_CASE_FIXTURE(OwnerFixture, "an entry that sends no messages is dropped, an entry that reports is kept")
 {
     this->grant(Millis{0});
     this->owner.receive(Millis{10000}, entry, HoldingsReport{pool, 0, 2, {{RequestId{0, 1}, TargetId{"a"}}}});
@@ -181,9 +181,10 @@
     CHECK(this->owner.holdings() == 0);
 }
 
-TEST_CASE_FIXTURE(OwnerFixture, "work that nobody reserved here counts: another router owns the shard too")
+TEST_CASE_FIXTURE(OwnerFixture, "reported load that was not reserved here counts: another router owns the shard too")
 {
-    // Symptom: in a partition both sides fill the same engine to the bound. Each side's owner sees only its own.
+    // Guards against both sides of a partition filling the same engine to the bound, as each side's owner counts only
+    // its own reservations.
     this->owner.reportLoad(TargetId{"a"}, 6, Millis{19900});
     CHECK(this->owner.sum(Millis{20000}).inFlight == 6);
     // 7 is within ceil(1.25 * total / 2) from a total of 10 on.
@@ -198,7 +199,7 @@
     CHECK(this->grant(Millis{20000}) == TargetId{"a"});
 }
 
-TEST_CASE("a new owner counts reported loads until every entry has spoken")
+TEST_CASE("a new owner counts reported loads until every entry has reported")
 {
     ShardOwner owner{{pool, 0}, OwnerSettings{}, 1, Millis{0}};
     owner.setTargets(Millis{0}, {targetOf("a")});
@@ -207,17 +208,17 @@
     owner.receive(Millis{11}, entry, HoldingsReport{pool, 0, 1, {{RequestId{0, 1}, TargetId{"a"}}}});
     CHECK_FALSE(owner.isSettled(Millis{11}));
     CHECK(owner.sum(Millis{11}).inFlight == 8);
-    SUBCASE("all have reported")
+    SUBCASE("all entries have reported")
     {
         owner.receive(Millis{12}, other, HoldingsReport{pool, 0, 1, {}});
         CHECK(owner.isSettled(Millis{12}));
     }
-    SUBCASE("the last one is gone")
+    SUBCASE("the last entry without a report left the list")
     {
         owner.setEntries({entry});
         CHECK(owner.isSettled(Millis{12}));
     }
-    SUBCASE("the time is over")
+    SUBCASE("settleTime is over")
     {
         CHECK(owner.isSettled(Millis{10000}));
     }
@@ -225,9 +226,9 @@
 
 TEST_CASE_FIXTURE(OwnerFixture, "low reports do not make a pool full")
 {
-    // Symptom: under a burst the queue of a pool stands still for a second though every target has room. The owner
-    // counted requests that had not reached their targets when these measured their load. Cause: the policy took its
-    // bound over the reported totals alone, so no target was below it, and the owner answered that the pool is full.
+    // Guards against a queue that stands still for a second in a burst although every target has room: the owner counts
+    // requests that had not reached their targets when these measured their load. With a bound by the reported totals
+    // alone, no target is below the bound, and the owner answers that the pool is full.
     for (int i = 0; i < 10; ++i) {
         this->grant(Millis{10});
     }
@@ -238,10 +239,10 @@
     CHECK(this->owner.counted(TargetId{"b"}) <= 6);
 }
 
-TEST_CASE_FIXTURE(OwnerFixture, "what an entry holds whose connection broke is out of the mean for a while")
+TEST_CASE_FIXTURE(OwnerFixture, "reservations of an entry whose connection broke are left out of the mean for a while")
 {
-    // Symptom: the highest load over the mean comes in the second after a router's death. Sequence: its streams end
-    // together, the targets' reports lag. Cause: the bound went by a mean that was no longer true.
+    // Guards against the highest load over the mean in the second after a router's death: its streams end together, but
+    // the targets' reports lag, so the bound would use an outdated mean.
     HoldingsReport report{pool, 0, 2, {}};
     for (std::uint64_t i = 0; i < 20; ++i) {
         report.holdings.push_back(Holding{RequestId{9, i}, TargetId{i % 2 == 0 ? "a" : "b"}});
@@ -249,25 +250,25 @@
     this->owner.receive(Millis{1}, other, report);
     const Millis suspectedAt{10};
     this->owner.suspectEntry(suspectedAt, other);
-    // By the smaller mean the first target has room for one more, and then it is the other's turn.
+    // By the smaller mean, the first target has room for one more request; the next request goes to the other target.
     const TargetId first = this->grant(suspectedAt);
     const TargetId second = this->grant(suspectedAt);
     CHECK(second != first);
     CHECK(this->total() == 22);
-    SUBCASE("not yet")
+    SUBCASE("while the entry is suspected")
     {
         CHECK(this->grant(Millis{21}) == second);
         CHECK(this->grant(Millis{22}) == first);
     }
-    SUBCASE("until it is heard again")
+    SUBCASE("until the entry sends a message")
     {
         report.sequence = 3;
         this->owner.receive(Millis{20}, other, report);
-        // The chat stays where it was last.
+        // The chat stays on its last target.
         CHECK(this->grant(Millis{21}) == second);
         CHECK(this->grant(Millis{22}) == second);
     }
-    SUBCASE("and no longer than until the reports must tell")
+    SUBCASE("until suspicionTime is over")
     {
         const Millis end = suspectedAt + OwnerSettings{}.suspicionTime;
         CHECK(this->grant(end) == second);
@@ -301,7 +302,7 @@
         return message.request;
     }
 
-    /** What was answered since the last call. */
+    /** The answers since the last call. */
     std::vector<ReserveReply> answers()
     {
         std::vector<ReserveReply> replies;
@@ -317,7 +318,7 @@
         this->owner.serveWaiting(now, this->outbox);
     }
 
-    /** Takes all places for urgent requests of as many organisations; requests 1 to 16. */
+    /** Takes all places with urgent requests, each of another organisation; requests 1 to 16. */
     void fill()
     {
         for (std::uint16_t i = 0; i < places; ++i) {
@@ -329,9 +330,9 @@
 
 } // namespace
 
-// Symptom: an urgent request waits while others get the places that come free. Sequence: the pool is full; seven
-// routers ask again each 50 ms. Cause: a freed place went to whoever happened to ask next.
-TEST_CASE_FIXTURE(WaitingFixture, "a place that comes free goes to the most important that waits")
+// Guards against an urgent request that waits while other requests get the freed places: the pool is full, seven
+// routers ask again every 50 ms, and each freed place goes to the next request that arrives.
+TEST_CASE_FIXTURE(WaitingFixture, "a freed place goes to the most important waiting reservation")
 {
     this->fill();
     const RequestId interactive = this->ask(Millis{2}, RequestClass::Interactive, 1);
@@ -351,7 +352,7 @@
     CHECK(answered.front().request == interactive);
 }
 
-TEST_CASE_FIXTURE(WaitingFixture, "one that finds no place in time hears so, once, and may ask again at once")
+TEST_CASE_FIXTURE(WaitingFixture, "a reservation that gets no place in time is refused once and may be retried at once")
 {
     this->fill();
     const RequestId late = this->ask(Millis{2}, RequestClass::Urgent, 1);
@@ -366,9 +367,9 @@
     CHECK(this->owner.counted(TargetId{"a"}) == places - 1);
 }
 
-// Symptom: a place is counted that nobody holds. Sequence: a router gives up, or dies, while its request waits; then a
-// place comes free. Cause: the list still named it.
-TEST_CASE_FIXTURE(WaitingFixture, "nothing is granted to one that was given up, or to a dead router")
+// Guards against a counted place that nobody holds: a router gives up, or dies, while its reservation waits, and the
+// reservation stays in the list and gets the next free place.
+TEST_CASE_FIXTURE(WaitingFixture, "nothing is granted to a reservation that was given up or to a dead router")
 {
     this->fill();
     const RequestId first = this->ask(Millis{2}, RequestClass::Urgent, 1);
@@ -392,8 +393,8 @@
     CHECK(this->answers().size() == 1);
 }
 
-// Symptom: nine organisations wait because of a tenth, though each router's queue is fair. Sequence: it sends ten times
-// its rate through all routers and holds nearly all places. Cause: the owner knew no organisations.
+// Guards against nine organisations that wait because of a tenth, although each router's queue is fair: the tenth sends
+// ten times its rate through all routers and holds nearly all places of an owner that ignores organisations.
 TEST_CASE_FIXTURE(WaitingFixture, "an organisation far above its share leaves the last places to the others")
 {
     for (std::uint16_t organisation = 2; organisation <= 5; ++organisation) {
@@ -407,11 +408,11 @@
         this->ask(Millis{1}, RequestClass::Interactive, organisation);
     }
     CHECK(this->owner.counted(TargetId{"a"}) == places);
-    // Alone, or where nobody told its organisation, it may have as many places as before.
+    // An organisation that is alone, or a request without an organisation, may have as many places as before.
     CHECK(ShardOwner::keptPlaces(RequestClass::Interactive, places) == 1);
 }
 
-TEST_CASE_FIXTURE(WaitingFixture, "an organisation alone in a shard is held back by nothing but its class")
+TEST_CASE_FIXTURE(WaitingFixture, "an organisation alone in a shard is limited by its class only")
 {
     for (int i = 0; i < 20; ++i) {
         this->ask(Millis{1}, RequestClass::Interactive, 1);
--- a/sequoiausher/coordination/admission/targetcount.cpp
+++ b/sequoiausher/coordination/admission/targetcount.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Counts are remembered for this long, to be compared with a report that lags.
+// Counts are remembered for this long, to be compared with reports that lag.
 constexpr Millis historySpan{3000};
 
 } // namespace
--- a/sequoiausher/coordination/admission/targetcount.h
+++ b/sequoiausher/coordination/admission/targetcount.h
@@ -1,14 +1,14 @@
 #pragma once
 
-// What one target carries: what is counted of it, corrected by what it reports itself.
+// The number of requests on one target: a count of grants and releases, corrected by the load that the target reports.
 //
 //     TargetCount count(now);
 //     count.change(now, 1);             // a grant
-//     count.report(load, measuredAt);   // late
+//     count.report(load, measuredAt);   // measured in the past
 //     count.estimate(now - Millis{3000});
 //
-// A report lags, so it is compared with what was counted when it was measured. The difference is carried on until the
-// next report.
+// A report lags, so it is compared with the count at the time of its measurement. The difference is added to the count
+// until the next report.
 
 #include "sequoiausher/base/millis.h"
 
@@ -24,21 +24,21 @@
 public:
     explicit TargetCount(Millis now = Millis{});
 
-    /** The load changes now: a grant or a release. */
+    /** Records a change of the target's load at this moment: a grant or a release. */
     void change(Millis now, int delta);
 
-    /** What is known changes, not the load: work that ran before is counted now, or no longer. */
+    /** Changes the count while the load stays the same: work that already ran is counted from now on, or no longer. */
     void adjustCounted(int delta);
 
-    /** What the target said of its load; ignored unless measured later than the last. */
+    /** Records the load that the target reported. Ignored unless it was measured later than the last report. */
     void report(std::uint32_t load, Millis measuredAt);
 
     std::uint32_t counted() const;
 
-    /** The last report, or the count where there is none. */
+    /** The last reported load, or the count if there is no report. */
     std::uint32_t reported() const;
 
-    /** The count, corrected by the last report where that was measured at oldest or later. */
+    /** The count, corrected by the last report if that was measured at oldest or later. */
     std::uint32_t estimate(Millis oldest) const;
 
 private:
@@ -53,7 +53,7 @@
     std::deque<Past> history;
     std::uint32_t lastLoad = 0;
     std::optional<Millis> reportedAt;
-    /** What the last report had more than was counted at the moment it was measured. */
+    /** The last reported load minus the count at the time of its measurement. */
     std::int64_t uncounted = 0;
 };
 
--- a/sequoiausher/coordination/admission/targetcounttest.cpp
+++ b/sequoiausher/coordination/admission/targetcounttest.cpp
@@ -4,7 +4,7 @@
 
 using namespace Sequoiausher;
 
-TEST_CASE("a late report is compared with the count of its own moment")
+TEST_CASE("a late report is compared with the count at the time of its measurement")
 {
     TargetCount count(Millis{0});
     count.change(Millis{100}, 1);
@@ -20,7 +20,7 @@
     CHECK(count.counted() == 3);
 }
 
-TEST_CASE("what entries announce, or a dead one held, changes the count and not the estimate until the next report")
+TEST_CASE("holdings that entries report or a dead entry held change the count, but the estimate only by target reports")
 {
     TargetCount count(Millis{0});
     count.report(5, Millis{10});
--- a/sequoiausher/coordination/admission/waitinglist.cpp
+++ b/sequoiausher/coordination/admission/waitinglist.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/** The flow that a reservation waits in. */
+/** Describes the reservation to its flow. */
 QueueEntry entryOf(const ReserveRequest &message)
 {
     QueueEntry entry;
@@ -29,7 +29,7 @@
 class WaitingList::Private
 {
 public:
-    /** Organisations that were turned down in this round, by class. */
+    /** The organisations whose first reservation got no place in this call of serve(), by class. */
     using RejectedOrganisations = std::array<std::set<OrganisationId>, requestClassCount>;
 
     FairFlows &flowsOf(const ReserveRequest &message)
@@ -67,11 +67,11 @@
     std::array<FairFlows, requestClassCount> classes;
     ClassTurns turns;
     std::unordered_map<RequestId, WaitingReservation> byRequest;
-    /** By age; those that no longer wait are left in until they come first. */
+    /** Oldest first. Reservations that no longer wait are removed only when they come first. */
     std::deque<std::pair<Millis, RequestId>> byDeadline;
 };
 
-/** @return false where everybody was turned down. */
+/** @return false if all organisations of all classes are rejected. */
 bool WaitingList::Private::offerNext(const std::function<bool(const WaitingReservation &)> &tryGrant,
                                      RejectedOrganisations &rejected)
 {
--- a/sequoiausher/coordination/admission/waitinglist.h
+++ b/sequoiausher/coordination/admission/waitinglist.h
@@ -1,17 +1,19 @@
 #pragma once
 
-// The reservations that found no room in a shard and wait at its owner for a place that comes free.
+// The reservations that found no room in a shard and wait at its owner for a free place.
 //
-//     for (const WaitingReservation &refused : list.add(now, {from, request, now + life})) { answer it: full }
+//     for (const WaitingReservation &refused : list.add({from, request, now + maxWaitTime})) { answer Full }
 //     list.serve([&](const WaitingReservation &next) { return tryToGrant(next); });
-//     for (const WaitingReservation &late : list.takeExpired(now)) { answer it: full }
+//     for (const WaitingReservation &late : list.takeExpired(now)) { answer Full }
 //
-// Goes wrong without it: a freed place goes to whichever router asks first, so among the routers neither classes nor
-// shares hold, and one organisation's surge moves the others' first token though each router's queue is fair.
+// Without the list, a freed place would go to the router that asks next. Then neither classes nor shares would hold
+// across routers, and a surge of one organisation would delay the first token of the others although each router's
+// queue is fair.
 //
-// Served in the order of a router's own queue: the classes take turns (classturns.h), organisations share fairly within
-// a class (fairflows.h). The list is soft state: each entry leaves after a short time and its router, which kept the
-// request, may ask again; a lost list costs no more than that. Nothing here is counted on a target.
+// The order of service is that of a router's own queue: classes take turns (classturns.h), and organisations share
+// fairly within a class (fairflows.h). The list is soft state: each reservation leaves after a short time, and its
+// router, which still has the request, may ask again. If the list is lost, the routers ask again too. Waiting
+// reservations are not counted on a target.
 
 #include "sequoiausher/coordination/messages/admissionmessages.h"
 
@@ -21,16 +23,16 @@
 
 namespace Sequoiausher {
 
-/** A reservation not answered yet. */
+/** A reservation that waits for a place. */
 struct WaitingReservation
 {
     InstanceId from;
     ReserveRequest message;
-    /** When it hears that there is no room. */
+    /** When the reservation is refused if it has no place by then. */
     Millis deadline;
 };
 
-/** Those of one shard. Not thread-safe. */
+/** The waiting reservations of one shard. Not thread-safe. */
 class WaitingList
 {
 public:
@@ -40,26 +42,27 @@
     WaitingList &operator=(const WaitingList &) = delete;
 
     /**
-     * Adds it, unless it waits already. Those that came before must not wait for longer than it.
-     * @return what no longer waits as the list is full: of the lowest class, the organisation with most waiting loses
-     *     its newest, which may be the added one itself.
+     * Adds the reservation unless it waits already. Its deadline must not be before those of earlier reservations.
+     * @return the reservation removed because the list is full: in the lowest class, the newest of the organisation
+     *     with the most waiting reservations. This may be the added one.
      */
     std::vector<WaitingReservation> add(const WaitingReservation &reservation);
 
-    /** Takes off one that its router gave up. Unknown ids have no effect. */
+    /** Removes a reservation that its router gave up. Unknown ids have no effect. */
     void remove(const RequestId &request);
 
-    /** Takes off all of one router. */
+    /** Removes all reservations of one router. */
     void dropEntry(const InstanceId &entry);
 
     /**
-     * Offers the first of each organisation and class, in the order of service, until all were turned down.
-     * @param takes whether the one offered was answered; it then no longer waits, and its organisation's next is
-     * offered.
+     * Passes the first reservation of each organisation and class to tryGrant, in the order of service, until tryGrant
+     * has returned false for all of them.
+     * @param tryGrant returns whether the reservation was answered; if so, the reservation is removed and the next one
+     *     of the same organisation and class becomes the first.
      */
     void serve(const std::function<bool(const WaitingReservation &)> &tryGrant);
 
-    /** Takes off those whose time is up. */
+    /** Removes and returns the reservations whose deadline has passed. */
     std::vector<WaitingReservation> takeExpired(Millis now);
 
     bool contains(const RequestId &request) const;
--- a/sequoiausher/coordination/admission/waitinglisttest.cpp
+++ b/sequoiausher/coordination/admission/waitinglisttest.cpp
@@ -27,7 +27,7 @@
     return waiting;
 }
 
-/** The first that would be served, which then no longer waits. */
+/** Serves one reservation and returns it. */
 std::optional<WaitingReservation> serveOne(WaitingList &list)
 {
     std::optional<WaitingReservation> served;
@@ -43,7 +43,7 @@
 
 } // namespace
 
-TEST_CASE("served: by class, then by fair share, then by age")
+TEST_CASE("reservations are served by class, then by fair share, then by age")
 {
     WaitingList list(100);
     list.add(waitingOf(1, 7, background));
@@ -59,9 +59,9 @@
     CHECK(list.size() == 0);
 }
 
-// Symptom: one place that nobody may use keeps everybody waiting. Sequence: the first in the list excludes the target
-// that has room. Cause: only the head of the list was offered.
-TEST_CASE("one that is turned down does not hold up another organisation or class")
+// Guards against a free place that stays unused while reservations wait: the first one excludes the target that has
+// room, and only the head of the list is considered.
+TEST_CASE("a rejected reservation does not block another organisation or class")
 {
     WaitingList list(100);
     list.add(waitingOf(1, 7, urgent));
@@ -76,7 +76,7 @@
     CHECK(list.size() == 3);
 }
 
-TEST_CASE("starvation: of any 8 served one is interactive, of any 33 one background, and each organisation in its turn")
+TEST_CASE("no starvation: any 8 served include an interactive one, any 33 a background one, organisations take turns")
 {
     WaitingList list(10000);
     for (std::uint64_t i = 1; i <= 1000; ++i) {
@@ -102,7 +102,7 @@
     CHECK(std::abs(served[1] - served[2]) <= 1);
 }
 
-TEST_CASE("a full list sheds the newest of the lowest class and of who waits with most")
+TEST_CASE("a full list sheds the newest of the organisation with the most waiting reservations of the lowest class")
 {
     WaitingList list(3);
     CHECK(list.add(waitingOf(1, 7, background)).empty());
@@ -115,7 +115,7 @@
     CHECK(list.size() == 3);
 }
 
-TEST_CASE("whatever comes: each one leaves exactly once, in order within its flow, and no later than its time")
+TEST_CASE("random schedules: each reservation leaves exactly once, in order within its flow, and by its deadline")
 {
     CHECK(rc::check([] {
         constexpr std::size_t most = 12;
