--- a/sequoiausher/coordination/admission/admissionpropertytest.cpp
+++ b/sequoiausher/coordination/admission/admissionpropertytest.cpp
@@ -66,12 +66,12 @@
         : random(seed)
         , lossy(isLossy)
         , policy(variant.policy)
-        , waits(places.has_value())
+        , canWait(places.has_value())
     {
         ReserverSettings settings;
         settings.sendsDigests = variant.sendsDigests;
         OwnerSettings ownerSettings;
-        ownerSettings.maxWaitTime = this->waits ? Millis{100} : Millis{0};
+        ownerSettings.maxWaitTime = this->canWait ? Millis{100} : Millis{0};
         auto made = std::make_shared<PoolView>();
         made->pool = pool;
         for (int i = 0; i < targetCount; ++i) {
@@ -85,19 +85,19 @@
             this->routers.emplace(name, std::make_unique<Router>(name, ownerSettings, settings));
         }
         for (const InstanceId &name : this->live) {
-            this->learn(name);
+            this->updateLists(name);
         }
         this->settle();
     }
 
-    std::size_t draw(std::size_t below)
+    std::size_t randomBelow(std::size_t below)
     {
         return this->random() % below;
     }
 
     InstanceId anyRouter()
     {
-        return this->live[this->draw(this->live.size())];
+        return this->live[this->randomBelow(this->live.size())];
     }
 
     void send(const InstanceId &from, Outbox &outbox)
@@ -107,7 +107,7 @@
         }
     }
 
-    void learn(const InstanceId &name)
+    void updateLists(const InstanceId &name)
     {
         Router &router = *this->routers.at(name);
         Outbox outbox;
@@ -120,7 +120,7 @@
         router.reserver.handleMapChange(this->now, outbox);
         this->collect(name);
         this->send(name, outbox);
-        this->agreed[name] = this->live.size();
+        this->knownRouterCount[name] = this->live.size();
     }
 
     void collect(const InstanceId &name)
@@ -262,7 +262,7 @@
     bool listsAgree() const
     {
         return std::all_of(this->live.begin(), this->live.end(), [this](const InstanceId &name) {
-            return this->agreed.at(name) == this->live.size();
+            return this->knownRouterCount.at(name) == this->live.size();
         });
     }
 
@@ -280,7 +280,7 @@
     void deliverAll()
     {
         while (!this->messagesInFlight.empty()) {
-            this->deliver(this->draw(this->messagesInFlight.size()), false);
+            this->deliver(this->randomBelow(this->messagesInFlight.size()), false);
         }
     }
 
@@ -336,21 +336,21 @@
             this->cancelLast();
         } else if (kind < 80) {
             if (count > 0) {
-                this->deliver(this->draw(count), false);
+                this->deliver(this->randomBelow(count), false);
             }
         } else if (kind < 85) {
             if (count > 0) {
-                this->deliver(this->draw(count), true);
+                this->deliver(this->randomBelow(count), true);
             }
         } else if (kind < 90) {
             if (this->lossy && count > 0) {
                 this->messagesInFlight.erase(this->messagesInFlight.begin()
-                                             + static_cast<std::ptrdiff_t>(this->draw(count)));
+                                             + static_cast<std::ptrdiff_t>(this->randomBelow(count)));
             }
         } else if (kind < 94) {
             this->settle();
         } else if (kind < 98) {
-            this->learn(this->anyRouter());
+            this->updateLists(this->anyRouter());
         } else if (kind == 98) {
             this->crash();
         } else {
@@ -358,10 +358,10 @@
         }
     }
 
-    void learnAll()
+    void updateAllLists()
     {
         for (const InstanceId &name : std::vector<InstanceId>(this->live)) {
-            this->learn(name);
+            this->updateLists(name);
         }
     }
 
@@ -392,7 +392,7 @@
     std::vector<InstanceId> live;
     std::vector<InstanceId> dead;
     std::map<InstanceId, std::unique_ptr<Router>> routers;
-    std::map<InstanceId, std::size_t> agreed;
+    std::map<InstanceId, std::size_t> knownRouterCount;
     std::vector<InFlightMessage> messagesInFlight;
     Millis now{1};
     std::uint64_t lastRequest = 0;
@@ -402,7 +402,7 @@
     std::mt19937_64 random;
     bool lossy;
     PolicyKind policy;
-    bool waits;
+    bool canWait;
 };
 
 std::uint64_t run(Fleet &fleet)
@@ -411,7 +411,7 @@
     for (const int kind : kinds) {
         fleet.step(kind);
     }
-    fleet.learnAll();
+    fleet.updateAllLists();
     for (int i = 0; i < 20; ++i) {
         fleet.settle();
     }
@@ -419,7 +419,7 @@
     fleet.releaseAll();
     for (int i = 0; i < 60; ++i) {
         fleet.settle();
-        if (fleet.waits) {
+        if (fleet.canWait) {
             // Some waiting reservations were granted only now.
             fleet.releaseAll();
         }
--- a/sequoiausher/coordination/admission/localplacement.cpp
+++ b/sequoiausher/coordination/admission/localplacement.cpp
@@ -31,7 +31,7 @@
 {
 public:
     const ReportedLoad *freshLoad(Millis now, const TargetView &target) const;
-    PoolLoad loadOf(Millis now, const std::vector<TargetView> &live, const TargetCounts &own) const;
+    PoolLoad loadOf(Millis now, const std::vector<TargetView> &live, const TargetCounts &heldCounts) const;
     std::uint64_t freePlacesOn(const TargetView &target,
                                const TargetLoad &seen,
                                const PoolLoad &load,
@@ -55,7 +55,8 @@
     return now <= entry->second.measuredAt + this->reportedLoadTtl ? &entry->second : nullptr;
 }
 
-PoolLoad LocalPlacement::Private::loadOf(Millis now, const std::vector<TargetView> &live, const TargetCounts &own) const
+PoolLoad
+LocalPlacement::Private::loadOf(Millis now, const std::vector<TargetView> &live, const TargetCounts &heldCounts) const
 {
     PoolLoad load;
     for (const TargetView &target : live) {
@@ -63,7 +64,7 @@
         const ReportedLoad *reported = this->freshLoad(now, target);
         // Without a report, only this router's own requests are known. The total and the bound are then too low, which
         // is the safe side.
-        const std::uint32_t carried = std::max(countOf(own, name), reported == nullptr ? 0 : reported->load);
+        const std::uint32_t carried = std::max(countOf(heldCounts, name), reported == nullptr ? 0 : reported->load);
         load.targets.push_back(TargetLoad{name, target.hash, carried, carried, reported != nullptr});
         load.total += carried;
     }
@@ -115,28 +116,29 @@
 }
 
 std::optional<TargetId> LocalPlacement::choose(Millis now,
-                                               const PlacementRequest &wanted,
+                                               const PlacementRequest &placementRequest,
                                                const std::vector<TargetView> &targets,
                                                const std::vector<InstanceId> &routers,
-                                               const TargetCounts &own)
+                                               const TargetCounts &heldCounts)
 {
     std::vector<TargetView> live;
     std::copy_if(targets.begin(), targets.end(), std::back_inserter(live), [](const TargetView &target) {
         return target.description.life.state == LifeState::Live;
     });
-    PoolLoad load = this->d->loadOf(now, live, own);
+    PoolLoad load = this->d->loadOf(now, live, heldCounts);
     for (std::size_t i = 0; i < live.size(); ++i) {
         TargetLoad &seen = load.targets[i];
-        const auto &excluded = wanted.excluded;
+        const auto &excluded = placementRequest.excluded;
         const bool isExcluded = std::find(excluded.begin(), excluded.end(), seen.target) != excluded.end();
         seen.usable = seen.usable && !isExcluded
-            && this->d->freePlacesOn(live[i], seen, load, wanted.boundPercent, routers) > 0;
+            && this->d->freePlacesOn(live[i], seen, load, placementRequest.boundPercent, routers) > 0;
     }
-    std::unique_ptr<Policy> &policy = this->d->policies[wanted.policy];
+    std::unique_ptr<Policy> &policy = this->d->policies[placementRequest.policy];
     if (!policy) {
-        policy = makePolicy(wanted.policy, this->d->seed);
+        policy = makePolicy(placementRequest.policy, this->d->seed);
     }
-    const Choice choice{wanted.chatHash, wanted.boundPercent, std::nullopt, false, wanted.prefixHash};
+    const Choice choice{
+        placementRequest.chatHash, placementRequest.boundPercent, std::nullopt, false, placementRequest.prefixHash};
     const std::optional<std::size_t> chosen = policy->choose(load, choice);
     return chosen ? std::optional(load.targets[*chosen].target) : std::nullopt;
 }
--- a/sequoiausher/coordination/admission/localplacement.h
+++ b/sequoiausher/coordination/admission/localplacement.h
@@ -5,7 +5,7 @@
 //
 //     LocalPlacement placement(self, Millis{3000}, seed);
 //     placement.recordLoad(target, load);
-//     const std::optional<TargetId> target = placement.choose(now, wanted, targets, routers, own);
+//     const std::optional<TargetId> target = placement.choose(now, request, targets, routers, heldCounts);
 //     placement.recordPlacement(*target);   // and recordRemoval(*target) at the end
 
 #include "sequoiausher/coordination/admission/placementrequest.h"
@@ -42,14 +42,14 @@
     /**
      * @param targets the targets of the shard.
      * @param routers the live routers.
-     * @param own what this router holds on each target, whether granted by an owner or locally.
+     * @param heldCounts what this router holds on each target, whether granted by an owner or locally.
      * @return none if this router has no place left.
      */
     std::optional<TargetId> choose(Millis now,
-                                   const PlacementRequest &wanted,
+                                   const PlacementRequest &placementRequest,
                                    const std::vector<TargetView> &targets,
                                    const std::vector<InstanceId> &routers,
-                                   const TargetCounts &own);
+                                   const TargetCounts &heldCounts);
 
     /** Drops the loads that are too old to be used. */
     void dropStaleLoads(Millis now);
--- a/sequoiausher/coordination/admission/reportdifferentialtest.cpp
+++ b/sequoiausher/coordination/admission/reportdifferentialtest.cpp
@@ -41,12 +41,12 @@
 };
 
 /** Whether a digest that differs is followed by a report. Without reports, the test must fail. */
-enum class Asking { Reports, Never };
+enum class DigestMismatch { RequestReport, Ignore };
 
 class TwoOwners
 {
 public:
-    TwoOwners(std::uint64_t seed, Asking how) : random(seed), asking(how)
+    TwoOwners(std::uint64_t seed, DigestMismatch how) : random(seed), onMismatch(how)
     {
         this->restartOwners();
     }
@@ -54,7 +54,7 @@
     void step(int kind)
     {
         const InstanceId &name = entries.at(this->random() % entries.size());
-        Entry &entry = this->known[name];
+        Entry &entry = this->entryStates[name];
         if (kind < 35) {
             this->reserve(name, entry);
         } else if (kind < 55) {
@@ -68,7 +68,7 @@
         } else if (kind == 91) {
             this->restartEntry(entry);
         } else {
-            this->pass(Millis{static_cast<std::int64_t>(this->random() % 4000)});
+            this->advance(Millis{static_cast<std::int64_t>(this->random() % 4000)});
         }
     }
 
@@ -82,7 +82,7 @@
         RC_ASSERT(this->byReports->isSettled(this->now) == this->byDigests->isSettled(this->now));
     }
 
-    std::size_t spared = 0;
+    std::size_t avoidedReports = 0;
 
 private:
     /** Both owners lose all counts, and the entries do not notice. */
@@ -161,8 +161,8 @@
         entry.lastDigest = digest;
         this->byReports->receive(this->now, name, report);
         if (!this->byDigests->receive(this->now, name, digest)) {
-            this->spared += 1;
-        } else if (this->asking == Asking::Reports) {
+            this->avoidedReports += 1;
+        } else if (this->onMismatch == DigestMismatch::RequestReport) {
             this->byDigests->receive(this->now, name, report);
         }
         this->compare();
@@ -179,7 +179,7 @@
         }
     }
 
-    void pass(Millis span)
+    void advance(Millis span)
     {
         this->now += span;
         this->byReports->tick(this->now);
@@ -187,15 +187,15 @@
     }
 
     std::mt19937_64 random;
-    Asking asking;
+    DigestMismatch onMismatch;
     Millis now{1};
     std::uint64_t lastRequest = 0;
-    std::map<InstanceId, Entry> known;
+    std::map<InstanceId, Entry> entryStates;
     std::unique_ptr<ShardOwner> byReports;
     std::unique_ptr<ShardOwner> byDigests;
 };
 
-void play(TwoOwners &owners)
+void runSchedule(TwoOwners &owners)
 {
     const auto kinds = *rc::gen::resize(400, rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 100)));
     for (const int kind : kinds) {
@@ -204,11 +204,11 @@
     owners.compare();
 }
 
-bool holdsOver(Asking asking, std::size_t seeds)
+bool countsAgree(DigestMismatch onMismatch, std::size_t seeds)
 {
     try {
         for (std::uint64_t seed = 0; seed < seeds; ++seed) {
-            TwoOwners owners(seed, asking);
+            TwoOwners owners(seed, onMismatch);
             std::mt19937_64 random(seed);
             for (int i = 0; i < 300; ++i) {
                 owners.step(static_cast<int>(random() % 100));
@@ -228,14 +228,14 @@
 TEST_CASE("an owner that receives digests has the same counts as an owner that receives reports")
 {
     CHECK(rc::check([](std::uint64_t seed) {
-        TwoOwners owners(seed, Asking::Reports);
-        play(owners);
-        RC_CLASSIFY(owners.spared > 10, "more than ten reports spared");
+        TwoOwners owners(seed, DigestMismatch::RequestReport);
+        runSchedule(owners);
+        RC_CLASSIFY(owners.avoidedReports > 10, "more than ten reports spared");
     }));
-    CHECK(holdsOver(Asking::Reports, 20));
+    CHECK(countsAgree(DigestMismatch::RequestReport, 20));
 }
 
 TEST_CASE("an owner that does not ask for the report where a digest differs counts wrongly")
 {
-    CHECK(!holdsOver(Asking::Never, 20));
+    CHECK(!countsAgree(DigestMismatch::Ignore, 20));
 }
--- a/sequoiausher/coordination/admission/reserver.cpp
+++ b/sequoiausher/coordination/admission/reserver.cpp
@@ -24,7 +24,7 @@
 /** A reservation whose request has not been answered. */
 struct Pending
 {
-    PlacementRequest wanted;
+    PlacementRequest placementRequest;
     RequestId reservation;
     ShardRoute route;
     Millis deadline;
@@ -53,11 +53,11 @@
 class Reserver::Private
 {
 public:
-    Private(InstanceId name, const ReserverSettings &given, std::uint64_t seed, const ShardMap &shards)
+    Private(InstanceId name, const ReserverSettings &reserverSettings, std::uint64_t seed, const ShardMap &shards)
         : self(name)
-        , settings(given)
+        , settings(reserverSettings)
         , map(shards)
-        , placement(std::move(name), given.reportedLoadTtl, seed)
+        , placement(std::move(name), reserverSettings.reportedLoadTtl, seed)
     {
     }
 
@@ -150,10 +150,10 @@
 
 void Reserver::Private::grant(const Pending &pendingRequest, const TargetId &target, bool isLocal)
 {
-    const RequestId &request = pendingRequest.wanted.request;
+    const RequestId &request = pendingRequest.placementRequest.request;
     const InstanceId grantedBy = isLocal ? InstanceId{} : pendingRequest.route.owner;
-    this->granted[request]
-        = GrantedReservation{pendingRequest.reservation, pendingRequest.wanted.pool, target, grantedBy, isLocal};
+    this->granted[request] = GrantedReservation{
+        pendingRequest.reservation, pendingRequest.placementRequest.pool, target, grantedBy, isLocal};
     this->ownCounts[target] += 1;
     if (isLocal) {
         this->placement.recordPlacement(target);
@@ -180,22 +180,22 @@
 
 void Reserver::Private::sendRequest(Millis now, Pending &pendingRequest, Outbox &outbox)
 {
-    const PlacementRequest &wanted = pendingRequest.wanted;
+    const PlacementRequest &placementRequest = pendingRequest.placementRequest;
     pendingRequest.attempts += 1;
     this->reportDue[pendingRequest.route.shard] = true;
     pendingRequest.awaitsOwnerChange = false;
-    pendingRequest.deadline = std::min(now + this->settings.replyTimeout, wanted.giveUpAt);
+    pendingRequest.deadline = std::min(now + this->settings.replyTimeout, placementRequest.giveUpAt);
     outbox.push_back({pendingRequest.route.owner,
                       ReserveRequest{pendingRequest.reservation,
-                                     wanted.pool,
+                                     placementRequest.pool,
                                      pendingRequest.route.shard.shard,
-                                     wanted.chatHash,
-                                     wanted.policy,
-                                     wanted.boundPercent,
-                                     wanted.excluded,
-                                     wanted.requestClass,
-                                     wanted.prefixHash,
-                                     wanted.organisation}});
+                                     placementRequest.chatHash,
+                                     placementRequest.policy,
+                                     placementRequest.boundPercent,
+                                     placementRequest.excluded,
+                                     placementRequest.requestClass,
+                                     placementRequest.prefixHash,
+                                     placementRequest.organisation}});
 }
 
 void Reserver::Private::cancelPending(Pending &pendingRequest, Outbox &outbox) const
@@ -207,8 +207,8 @@
 void Reserver::Private::reroute(Millis now, Pending &pendingRequest, Outbox &outbox)
 {
     const std::optional<ShardRoute> route
-        = this->map.routeOf(pendingRequest.wanted.pool, pendingRequest.wanted.chatHash);
-    const RequestId request = pendingRequest.wanted.request;
+        = this->map.routeOf(pendingRequest.placementRequest.pool, pendingRequest.placementRequest.chatHash);
+    const RequestId request = pendingRequest.placementRequest.request;
     if (!route) {
         this->refuse(request, ReserveOutcome::NoTarget, this->settings.retryAfter);
         return;
@@ -219,13 +219,13 @@
 
 void Reserver::Private::requestFrom(Millis now, Pending &pendingRequest, const ShardRoute &route, Outbox &outbox)
 {
-    const RequestId request = pendingRequest.wanted.request;
+    const RequestId request = pendingRequest.placementRequest.request;
     // Each shard and owner gets a new id, so that a release of an earlier reservation cannot undo this one.
-    constexpr std::uint64_t spread = 0x9e3779b97f4a7c15ULL;
+    constexpr std::uint64_t idMultiplier = 0x9e3779b97f4a7c15ULL;
     this->requestOf.erase(pendingRequest.reservation);
     pendingRequest.route = route;
     this->reservationCount += 1;
-    pendingRequest.reservation = RequestId{request.high, request.low ^ (this->reservationCount * spread)};
+    pendingRequest.reservation = RequestId{request.high, request.low ^ (this->reservationCount * idMultiplier)};
     this->requestOf[pendingRequest.reservation] = request;
     if (this->isUnreachable(now, route.owner)) {
         this->placeLocally(now, request);
@@ -238,38 +238,39 @@
 // names the former owner for about a second. Asking only the former owner until all attempts are used up would refuse
 // requests (as pool_full, in a planned stop) although every target has room. So the router named in the answer is asked
 // at once. If that router answers NotOwner too, the reservation waits for the lists to agree, for a bounded time.
-void Reserver::Private::handleNotOwner(Millis now, Pending &moved, const InstanceId &named, Outbox &outbox)
+void Reserver::Private::handleNotOwner(Millis now, Pending &pendingRequest, const InstanceId &named, Outbox &outbox)
 {
-    if (moved.awaitsOwnerChange) {
+    if (pendingRequest.awaitsOwnerChange) {
         return;
     }
     // The owner answered, so the attempt does not count as unanswered.
-    moved.attempts -= 1;
-    if (moved.redirectDeadline == Millis::never()) {
-        moved.redirectDeadline = now + this->settings.redirectTimeout;
+    pendingRequest.attempts -= 1;
+    if (pendingRequest.redirectDeadline == Millis::never()) {
+        pendingRequest.redirectDeadline = now + this->settings.redirectTimeout;
     }
-    const bool mayRedirect = !moved.redirected && named != moved.route.owner && !this->isUnreachable(now, named);
+    const bool mayRedirect
+        = !pendingRequest.redirected && named != pendingRequest.route.owner && !this->isUnreachable(now, named);
     if (mayRedirect) {
-        moved.redirected = true;
+        pendingRequest.redirected = true;
         // The request may have been sent twice, and the router may own the shard again when the second copy arrives.
         // Without this release, that copy would be granted a place that nobody uses, and the target would count one
         // reservation too many for seconds.
-        this->cancelPending(moved, outbox);
-        this->requestFrom(now, moved, ShardRoute{moved.route.shard, named}, outbox);
+        this->cancelPending(pendingRequest, outbox);
+        this->requestFrom(now, pendingRequest, ShardRoute{pendingRequest.route.shard, named}, outbox);
         return;
     }
-    moved.awaitsOwnerChange = true;
-    moved.deadline = now + this->settings.notOwnerDelay;
+    pendingRequest.awaitsOwnerChange = true;
+    pendingRequest.deadline = now + this->settings.notOwnerDelay;
 }
 
 void Reserver::Private::placeLocally(Millis now, const RequestId &request)
 {
-    const Pending &alone = this->pending.at(request);
-    const std::vector<TargetView> targets = this->map.targetsOf(alone.route.shard);
+    const Pending &pendingRequest = this->pending.at(request);
+    const std::vector<TargetView> targets = this->map.targetsOf(pendingRequest.route.shard);
     const std::optional<TargetId> target
-        = this->placement.choose(now, alone.wanted, targets, this->map.instances(), this->ownCounts);
+        = this->placement.choose(now, pendingRequest.placementRequest, targets, this->map.instances(), this->ownCounts);
     if (target) {
-        this->grant(alone, *target, true);
+        this->grant(pendingRequest, *target, true);
         this->pending.erase(request);
         return;
     }
@@ -278,28 +279,28 @@
 
 void Reserver::Private::handleTimeout(Millis now, const RequestId &request, Outbox &outbox)
 {
-    Pending &expired = this->pending.at(request);
-    if (now >= expired.wanted.giveUpAt) {
-        this->cancelPending(expired, outbox);
+    Pending &pendingRequest = this->pending.at(request);
+    if (now >= pendingRequest.placementRequest.giveUpAt) {
+        this->cancelPending(pendingRequest, outbox);
         this->refuse(request, ReserveOutcome::Full, lateRetryAfter);
         return;
     }
-    const bool sameOwner = this->map.ownerOf(expired.route.shard) == expired.route.owner;
-    const bool mayRetry
-        = expired.awaitsOwnerChange ? now < expired.redirectDeadline : expired.attempts < this->settings.maxAttempts;
+    const bool sameOwner = this->map.ownerOf(pendingRequest.route.shard) == pendingRequest.route.owner;
+    const bool mayRetry = pendingRequest.awaitsOwnerChange ? now < pendingRequest.redirectDeadline
+                                                           : pendingRequest.attempts < this->settings.maxAttempts;
     if (mayRetry) {
-        if (sameOwner && !this->isUnreachable(now, expired.route.owner)) {
-            this->sendRequest(now, expired, outbox);
+        if (sameOwner && !this->isUnreachable(now, pendingRequest.route.owner)) {
+            this->sendRequest(now, pendingRequest, outbox);
             return;
         }
-        this->cancelPending(expired, outbox);
-        this->reroute(now, expired, outbox);
+        this->cancelPending(pendingRequest, outbox);
+        this->reroute(now, pendingRequest, outbox);
         return;
     }
-    if (!expired.awaitsOwnerChange) {
-        this->unreachableUntil[expired.route.owner] = now + this->settings.unreachableTime;
+    if (!pendingRequest.awaitsOwnerChange) {
+        this->unreachableUntil[pendingRequest.route.owner] = now + this->settings.unreachableTime;
     }
-    this->cancelPending(expired, outbox);
+    this->cancelPending(pendingRequest, outbox);
     this->placeLocally(now, request);
 }
 
@@ -369,11 +370,11 @@
 
 Reserver::~Reserver() = default;
 
-void Reserver::reserve(Millis now, const PlacementRequest &wanted, Outbox &outbox)
+void Reserver::reserve(Millis now, const PlacementRequest &placementRequest, Outbox &outbox)
 {
-    this->release(now, wanted.request, outbox);
-    Pending &pending = this->d->pending[wanted.request];
-    pending.wanted = wanted;
+    this->release(now, placementRequest.request, outbox);
+    Pending &pending = this->d->pending[placementRequest.request];
+    pending.placementRequest = placementRequest;
     this->d->reroute(now, pending, outbox);
 }
 
@@ -441,14 +442,14 @@
     for (const ShardId &shard : this->d->map.shards()) {
         owners[shard] = this->d->map.ownerOf(shard);
     }
-    std::vector<RequestId> moved;
+    std::vector<RequestId> movedRequests;
     for (const auto &entry : this->d->pending) {
         const auto owner = owners.find(entry.second.route.shard);
         if (owner == owners.end() || owner->second != entry.second.route.owner) {
-            moved.push_back(entry.first);
+            movedRequests.push_back(entry.first);
         }
     }
-    for (const RequestId &request : moved) {
+    for (const RequestId &request : movedRequests) {
         Pending &pending = this->d->pending.at(request);
         this->d->cancelPending(pending, outbox);
         this->d->reroute(now, pending, outbox);
@@ -500,7 +501,7 @@
 
 std::vector<TargetView> Reserver::targetsNeedingLoad(Millis now) const
 {
-    std::vector<TargetView> wanted;
+    std::vector<TargetView> neededTargets;
     const std::set<InstanceId> late = this->d->lateOwners();
     for (const auto &entry : this->d->owners) {
         if (!this->d->isUnreachable(now, entry.second) && !late.contains(entry.second)) {
@@ -508,11 +509,11 @@
         }
         for (const TargetView &target : this->d->map.targetsOf(entry.first)) {
             if (routerRank(this->d->map.instances(), this->d->self, target.hash) < loadQueryRanks) {
-                wanted.push_back(target);
+                neededTargets.push_back(target);
             }
         }
     }
-    return wanted;
+    return neededTargets;
 }
 
 void Reserver::tick(Millis now, Outbox &outbox)
--- a/sequoiausher/coordination/admission/reserver.h
+++ b/sequoiausher/coordination/admission/reserver.h
@@ -95,7 +95,7 @@
     Reserver &operator=(const Reserver &) = delete;
 
     /** Starts a reservation and releases the request's earlier one, if any. Each reservation ends in one result. */
-    void reserve(Millis now, const PlacementRequest &wanted, Outbox &outbox);
+    void reserve(Millis now, const PlacementRequest &placementRequest, Outbox &outbox);
 
     /** Releases the request's target or cancels its pending reservation. No effect if it has neither. */
     void release(Millis now, const RequestId &request, Outbox &outbox);
--- a/sequoiausher/coordination/admission/reservertest.cpp
+++ b/sequoiausher/coordination/admission/reservertest.cpp
@@ -29,11 +29,11 @@
             view->targets.push_back({{target, "", DataCentreId{}, {1, LifeState::Live}, {}}, hash64(target.value)});
         }
         this->map.setPool(view);
-        this->learn({self, InstanceId{"r1"}, InstanceId{"r2"}});
+        this->setLiveRouters({self, InstanceId{"r1"}, InstanceId{"r2"}});
         this->outbox.clear();
     }
 
-    void learn(const std::vector<InstanceId> &live)
+    void setLiveRouters(const std::vector<InstanceId> &live)
     {
         this->map.setInstances(live);
         this->reserver.handleMapChange(Millis{0}, this->outbox);
@@ -163,7 +163,7 @@
     const InstanceId before = this->owner();
     std::vector<InstanceId> live{self, InstanceId{"r1"}, InstanceId{"r2"}};
     std::erase(live, before);
-    this->learn(live);
+    this->setLiveRouters(live);
     REQUIRE(this->owner() != before);
     const auto asked = this->sent<ReserveRequest>();
     this->answer(Millis{60}, asked.at(0).request, ReserveVerdict::Granted);
@@ -257,9 +257,9 @@
     const InstanceId stopped = this->owner();
     std::vector<InstanceId> rest = all;
     std::erase(rest, stopped);
-    this->learn(rest);
+    this->setLiveRouters(rest);
     this->reserver.markPeerUnreachable(Millis{10}, stopped, this->outbox);
-    this->learn(all);
+    this->setLiveRouters(all);
     this->outbox.clear();
     this->reserve(Millis{20}, 1);
     CHECK(this->sent<ReserveRequest>().size() == 1);
--- a/sequoiausher/coordination/admission/shardowner.cpp
+++ b/sequoiausher/coordination/admission/shardowner.cpp
@@ -61,7 +61,7 @@
 class ShardOwner::Private
 {
 public:
-    explicit Private(const OwnerSettings &given) : settings(given), waiting(given.maxWaiting)
+    explicit Private(const OwnerSettings &ownerSettings) : settings(ownerSettings), waiting(ownerSettings.maxWaiting)
     {
     }
 
@@ -102,7 +102,7 @@
     /** Entries whose connection broke; until this time the mean does not include their reservations. */
     std::map<InstanceId, Millis> suspectedUntil;
     bool entriesKnown = false;
-    std::unordered_set<RequestId> released;
+    std::unordered_set<RequestId> releasedRequests;
     std::deque<std::pair<Millis, RequestId>> releasedOrder;
     std::map<PolicyKind, std::unique_ptr<Policy>> policies;
     WaitingList waiting;
@@ -339,15 +339,15 @@
 
 std::uint32_t ShardOwner::keptPlaces(RequestClass requestClass, std::uint32_t capacity)
 {
-    constexpr std::uint32_t parts = 16;
-    constexpr std::uint32_t fromBackground = 3;
+    constexpr std::uint32_t capacityParts = 16;
+    constexpr std::uint32_t partsKeptFromBackground = 3;
     switch (requestClass) {
     case RequestClass::Urgent:
         return 0;
     case RequestClass::Interactive:
-        return capacity / parts;
+        return capacity / capacityParts;
     case RequestClass::Background:
-        return static_cast<std::uint32_t>(std::uint64_t{capacity} * fromBackground / parts);
+        return static_cast<std::uint32_t>(std::uint64_t{capacity} * partsKeptFromBackground / capacityParts);
     }
     return 0;
 }
@@ -436,7 +436,7 @@
 {
     // A release may overtake its reservation on another connection; counting the reservation now would leak a place
     // until the entry's next report.
-    if (this->d->released.contains(message.request)) {
+    if (this->d->releasedRequests.contains(message.request)) {
         return;
     }
     this->d->recordContact(now, from);
@@ -485,7 +485,7 @@
     if (TargetState *targetState = this->d->find(this->d->removeReservation(message.request))) {
         targetState->count.change(now, -1);
     }
-    if (this->d->released.insert(message.request).second) {
+    if (this->d->releasedRequests.insert(message.request).second) {
         this->d->releasedOrder.emplace_back(now, message.request);
     }
 }
@@ -513,7 +513,7 @@
     }
     for (const Holding &holding : message.holdings) {
         // A holding without a target is a reservation that still waits for its answer, so there is nothing to add.
-        const bool isCountable = !holding.target.empty() && !this->d->released.contains(holding.request);
+        const bool isCountable = !holding.target.empty() && !this->d->releasedRequests.contains(holding.request);
         if (isCountable && !this->d->held.contains(holding.request)) {
             this->d->countReservation(holding.request, CountedReservation{from, holding.target, now});
             if (TargetState *targetState = this->d->find(holding.target)) {
@@ -558,7 +558,7 @@
     this->d->refused.forgetUntil(now - this->d->settings.refusalTtl);
     std::deque<std::pair<Millis, RequestId>> &order = this->d->releasedOrder;
     while (!order.empty() && now >= order.front().first + this->d->settings.releaseTtl) {
-        this->d->released.erase(order.front().second);
+        this->d->releasedRequests.erase(order.front().second);
         order.pop_front();
     }
 }
--- a/sequoiausher/coordination/admission/targetcount.cpp
+++ b/sequoiausher/coordination/admission/targetcount.cpp
@@ -13,13 +13,13 @@
 
 TargetCount::TargetCount(Millis now)
 {
-    this->history.push_back(Past{now, 0});
+    this->history.push_back(PastCount{now, 0});
 }
 
 void TargetCount::change(Millis now, int delta)
 {
     this->current += delta;
-    this->history.push_back(Past{now, this->current});
+    this->history.push_back(PastCount{now, this->current});
     while (this->history.size() > 1 && this->history[1].since + historySpan <= now) {
         this->history.pop_front();
     }
@@ -28,8 +28,8 @@
 void TargetCount::adjustCounted(int delta)
 {
     this->current += delta;
-    this->uncounted -= delta;
-    for (Past &past : this->history) {
+    this->uncountedLoad -= delta;
+    for (PastCount &past : this->history) {
         past.counted += delta;
     }
 }
@@ -40,14 +40,14 @@
         return;
     }
     std::int64_t countedThen = this->history.front().counted;
-    for (const Past &past : this->history) {
+    for (const PastCount &past : this->history) {
         if (past.since <= measuredAt) {
             countedThen = past.counted;
         }
     }
     this->lastLoad = load;
     this->reportedAt = measuredAt;
-    this->uncounted = std::int64_t{load} - countedThen;
+    this->uncountedLoad = std::int64_t{load} - countedThen;
 }
 
 std::uint32_t TargetCount::counted() const
@@ -63,7 +63,7 @@
 std::uint32_t TargetCount::estimate(Millis oldest) const
 {
     const bool fresh = this->reportedAt && *this->reportedAt >= oldest;
-    return static_cast<std::uint32_t>(std::max(this->current + (fresh ? this->uncounted : 0), std::int64_t{0}));
+    return static_cast<std::uint32_t>(std::max(this->current + (fresh ? this->uncountedLoad : 0), std::int64_t{0}));
 }
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/admission/targetcount.h
+++ b/sequoiausher/coordination/admission/targetcount.h
@@ -42,7 +42,7 @@
     std::uint32_t estimate(Millis oldest) const;
 
 private:
-    struct Past
+    struct PastCount
     {
         Millis since;
         std::int64_t counted;
@@ -50,11 +50,11 @@
 
     std::int64_t current = 0;
     /** The counts of the last seconds, oldest first; never empty. */
-    std::deque<Past> history;
+    std::deque<PastCount> history;
     std::uint32_t lastLoad = 0;
     std::optional<Millis> reportedAt;
     /** The last reported load minus the count at the time of its measurement. */
-    std::int64_t uncounted = 0;
+    std::int64_t uncountedLoad = 0;
 };
 
 } // namespace Sequoiausher
