--- a/sequoiausher/coordination/admission/localplacement.h
+++ b/sequoiausher/coordination/admission/localplacement.h
@@ -34,7 +34,7 @@
 
     void recordLoad(const TargetId &target, const ReportedLoad &load);
 
-    /** Records that a chosen target was used. */
+    /** Records that this router placed a request on the target without its owner. */
     void recordPlacement(const TargetId &target);
     /** Records that a request counted by recordPlacement() ended. */
     void recordRemoval(const TargetId &target);
--- a/sequoiausher/coordination/admission/ownedshards.h
+++ b/sequoiausher/coordination/admission/ownedshards.h
@@ -23,7 +23,10 @@
     /** Starts to own the shards that map assigns to this router, drops all others, and updates targets and entries. */
     void update(Millis now, const ShardMap &map);
 
-    /** Passes the pools' loads by the heartbeats in map to the owners. Call after each heartbeat or twice a second. */
+    /**
+     * Passes the pools' loads, summed from the heartbeats in map, to the owners. Call after each heartbeat or about
+     * twice a second.
+     */
     void refreshPoolLoads(const ShardMap &map);
 
     /** Removes a router that is known to have died. Not for a leaving router, which still holds its streams. */
@@ -55,7 +58,10 @@
     /** For heartbeats. */
     std::vector<ShardSum> sums(Millis now) const;
 
-    /** The targets of all owned shards. This router queries their load. */
+    /**
+     * The targets of all owned shards. Only their owner queries their load, unless the owner cannot be reached or
+     * answers late (Reserver::targetsNeedingLoad()).
+     */
     std::vector<TargetView> targets() const;
 
     /** The owner of the shard, or null if this router does not own the shard. */
--- a/sequoiausher/coordination/admission/shardowner.h
+++ b/sequoiausher/coordination/admission/shardowner.h
@@ -41,7 +41,7 @@
      * reports show whether its streams have ended.
      */
     Millis suspicionTime{2000};
-    /** Sent with the refusal by a full shard: the time after which the entry may ask again. */
+    /** Sent with refusals: the time after which the entry may ask again. */
     Millis retryAfter{1000};
     /**
      * How long a reservation that finds no room waits for a place before it is refused; with 0, it is refused at once.
