--- a/sequoiausher/coordination/admission/admissionpropertytest.cpp
+++ b/sequoiausher/coordination/admission/admissionpropertytest.cpp
@@ -1,5 +1,5 @@
-// A small fleet of routers under random schedules: messages reordered, repeated and lost, routers that crash, owners
-// that move, lists that disagree. Compared with a counter that sees everything.
+// Runs a small fleet of routers under random schedules: messages are reordered, repeated and lost, routers crash,
+// owners change, lists disagree. The counts are compared with the true ones.
 
 #include "sequoiausher/base/hashing.h"
 #include "sequoiausher/coordination/admission/ownedshards.h"
@@ -23,10 +23,10 @@
 constexpr std::uint32_t percent = 125;
 constexpr int routerCount = 5;
 constexpr int targetCount = 6;
-// Some chats have no prefix: 0.
+// One of the prefixes is 0: chats without a prefix.
 constexpr std::uint64_t prefixCount = 4;
 
-/** Each schedule is played with each of these. */
+/** Each schedule is run with each variant. */
 struct Variant
 {
     PolicyKind policy;
@@ -52,7 +52,7 @@
     std::map<RequestId, TargetId> running;
 };
 
-struct Flying
+struct InFlightMessage
 {
     InstanceId from;
     Outgoing out;
@@ -61,17 +61,17 @@
 class Fleet
 {
 public:
-    /** @param places of each target; with them, reservations that find none wait at the owner. */
+    /** @param places the capacity of each target; if set, reservations that find no place wait at the owner. */
     Fleet(std::uint64_t seed, bool isLossy, const Variant &variant, std::optional<std::uint32_t> places = {})
         : random(seed)
         , lossy(isLossy)
         , policy(variant.policy)
-        , waits(places.has_value())
+        , canWait(places.has_value())
     {
         ReserverSettings settings;
         settings.sendsDigests = variant.sendsDigests;
         OwnerSettings ownerSettings;
-        ownerSettings.waitingLife = this->waits ? Millis{100} : Millis{0};
+        ownerSettings.maxWaitTime = this->canWait ? Millis{100} : Millis{0};
         auto made = std::make_shared<PoolView>();
         made->pool = pool;
         for (int i = 0; i < targetCount; ++i) {
@@ -85,29 +85,29 @@
             this->routers.emplace(name, std::make_unique<Router>(name, ownerSettings, settings));
         }
         for (const InstanceId &name : this->live) {
-            this->learn(name);
+            this->updateLists(name);
         }
         this->settle();
     }
 
-    std::size_t draw(std::size_t below)
+    std::size_t randomBelow(std::size_t below)
     {
         return this->random() % below;
     }
 
     InstanceId anyRouter()
     {
-        return this->live[this->draw(this->live.size())];
+        return this->live[this->randomBelow(this->live.size())];
     }
 
-    void carry(const InstanceId &from, Outbox &outbox)
+    void send(const InstanceId &from, Outbox &outbox)
     {
         for (Outgoing &out : outbox) {
-            this->flying.push_back(Flying{from, std::move(out)});
+            this->messagesInFlight.push_back(InFlightMessage{from, std::move(out)});
         }
     }
 
-    void learn(const InstanceId &name)
+    void updateLists(const InstanceId &name)
     {
         Router &router = *this->routers.at(name);
         Outbox outbox;
@@ -115,12 +115,12 @@
         router.map.setPool(this->view);
         router.owned.update(this->now, router.map);
         for (const InstanceId &lost : this->dead) {
-            router.owned.instanceGone(lost);
+            router.owned.dropInstance(lost);
         }
-        router.reserver.listsChanged(this->now, outbox);
+        router.reserver.handleMapChange(this->now, outbox);
         this->collect(name);
-        this->carry(name, outbox);
-        this->agreed[name] = this->live.size();
+        this->send(name, outbox);
+        this->knownRouterCount[name] = this->live.size();
     }
 
     void collect(const InstanceId &name)
@@ -137,13 +137,13 @@
     {
         const InstanceId name = this->anyRouter();
         Outbox outbox;
-        Wanted wanted{RequestId{1, ++this->lastRequest}, pool, this->random(), this->policy, percent, {}};
+        PlacementRequest wanted{RequestId{1, ++this->lastRequest}, pool, this->random(), this->policy, percent, {}};
         wanted.prefixHash = wanted.chatHash % prefixCount;
         wanted.requestClass = static_cast<RequestClass>(this->lastRequest % requestClassCount);
         wanted.organisation = static_cast<std::uint16_t>(1 + this->lastRequest % 5 / 2);
         this->routers.at(name)->reserver.reserve(this->now, wanted, outbox);
         this->collect(name);
-        this->carry(name, outbox);
+        this->send(name, outbox);
     }
 
     void release()
@@ -154,7 +154,7 @@
         }
     }
 
-    /** The last caller goes away, whether or not its request has a target yet. */
+    /** The last request is cancelled, whether or not it has a target yet. */
     void cancelLast()
     {
         for (const auto &entry : this->routers) {
@@ -169,17 +169,17 @@
         router.running.erase(request);
         for (const auto &entry : this->routers) {
             if (entry.second.get() == &router) {
-                this->carry(entry.first, outbox);
+                this->send(entry.first, outbox);
             }
         }
     }
 
     void deliver(std::size_t index, bool keepCopy)
     {
-        const Flying message = this->flying[index];
+        const InFlightMessage message = this->messagesInFlight[index];
         this->digests += std::holds_alternative<HoldingsDigest>(message.out.message) ? 1 : 0;
         if (!keepCopy) {
-            this->flying.erase(this->flying.begin() + static_cast<std::ptrdiff_t>(index));
+            this->messagesInFlight.erase(this->messagesInFlight.begin() + static_cast<std::ptrdiff_t>(index));
         }
         const auto receiver = this->routers.find(message.out.to);
         if (receiver == this->routers.end()) {
@@ -202,23 +202,23 @@
             this->collect(receiver->first);
         }
         this->serveWaiting(router, outbox);
-        this->carry(receiver->first, outbox);
+        this->send(receiver->first, outbox);
     }
 
-    /** As a router does after each message and tick; checks the bound at each admission of a settled owner. */
+    /** Serves waiting reservations after each message and tick; checks the bound at each grant of a settled owner. */
     void serveWaiting(Router &router, Outbox &outbox)
     {
         const ShardOwner *shard = router.owned.find({pool, 0});
         const std::uint32_t before = shard == nullptr ? 0 : shard->sum(this->now).inFlight;
         Outbox served;
         router.owned.serveWaiting(this->now, served);
-        if (shard != nullptr && shard->settled(this->now)) {
+        if (shard != nullptr && shard->isSettled(this->now)) {
             this->admissionsOfWaiting += this->checkGrants(*shard, before, served);
         }
         outbox.insert(outbox.end(), served.begin(), served.end());
     }
 
-    /** Checks the bound at each admission by a settled owner, by the owner's counts and by the true ones. */
+    /** Checks the bound at each grant of a settled owner, by the owner's counts and by the true counts. */
     void deliverRequest(const InstanceId &owner,
                         Router &router,
                         const InstanceId &from,
@@ -229,7 +229,7 @@
         const std::uint32_t before = shard == nullptr ? 0 : shard->sum(this->now).inFlight;
         const std::size_t heldBefore = shard == nullptr ? 0 : shard->holdings();
         router.owned.receive(this->now, from, request, outbox);
-        if (shard == nullptr || !shard->settled(this->now) || shard->holdings() == heldBefore) {
+        if (shard == nullptr || !shard->isSettled(this->now) || shard->holdings() == heldBefore) {
             return;
         }
         const TargetId &target = std::get<ReserveReply>(outbox.back().message).target;
@@ -241,7 +241,7 @@
         (void)owner;
     }
 
-    /** Checks each place granted against the bound at that moment. @return how many were. */
+    /** Checks each grant against the bound at that moment. @return the number of grants. */
     static std::uint64_t checkGrants(const ShardOwner &shard, std::uint32_t before, const Outbox &outbox)
     {
         std::vector<TargetId> granted;
@@ -262,7 +262,7 @@
     bool listsAgree() const
     {
         return std::all_of(this->live.begin(), this->live.end(), [this](const InstanceId &name) {
-            return this->agreed.at(name) == this->live.size();
+            return this->knownRouterCount.at(name) == this->live.size();
         });
     }
 
@@ -279,8 +279,8 @@
 
     void deliverAll()
     {
-        while (!this->flying.empty()) {
-            this->deliver(this->draw(this->flying.size()), false);
+        while (!this->messagesInFlight.empty()) {
+            this->deliver(this->randomBelow(this->messagesInFlight.size()), false);
         }
     }
 
@@ -294,16 +294,16 @@
             router.owned.tick(this->now);
             this->serveWaiting(router, outbox);
             this->collect(name);
-            this->carry(name, outbox);
+            this->send(name, outbox);
         }
     }
 
-    /** No message is under way for longer than a second, as on a real network with time-outs. */
+    /** Delivers all messages: none is in flight for longer than a second, as on a real network with timeouts. */
     void settle()
     {
         this->deliverAll();
-        // Before any report could mend it: each message alone leaves the counts right.
-        if (!this->lossy && this->listsAgree() && this->owner().settled(this->now)) {
+        // Compared before a report could correct the counts: they must be right after each message.
+        if (!this->lossy && this->listsAgree() && this->owner().isSettled(this->now)) {
             this->compareWithTruth();
         }
         this->advance(Millis{1000});
@@ -317,16 +317,17 @@
             std::erase(this->live, name);
             this->dead.push_back(name);
             this->routers.erase(name);
-            // What it sent is lost with its connections; with loss, some of it still arrives.
+            // Messages of the crashed router are lost with its connections; in lossy runs, some still arrive.
             if (!this->lossy) {
-                std::erase_if(this->flying, [&name](const Flying &message) { return message.from == name; });
+                std::erase_if(this->messagesInFlight,
+                              [&name](const InFlightMessage &message) { return message.from == name; });
             }
         }
     }
 
     void step(int kind)
     {
-        const std::size_t count = this->flying.size();
+        const std::size_t count = this->messagesInFlight.size();
         if (kind < 30) {
             this->reserve();
         } else if (kind < 45) {
@@ -335,20 +336,21 @@
             this->cancelLast();
         } else if (kind < 80) {
             if (count > 0) {
-                this->deliver(this->draw(count), false);
+                this->deliver(this->randomBelow(count), false);
             }
         } else if (kind < 85) {
             if (count > 0) {
-                this->deliver(this->draw(count), true);
+                this->deliver(this->randomBelow(count), true);
             }
         } else if (kind < 90) {
             if (this->lossy && count > 0) {
-                this->flying.erase(this->flying.begin() + static_cast<std::ptrdiff_t>(this->draw(count)));
+                this->messagesInFlight.erase(this->messagesInFlight.begin()
+                                             + static_cast<std::ptrdiff_t>(this->randomBelow(count)));
             }
         } else if (kind < 94) {
             this->settle();
         } else if (kind < 98) {
-            this->learn(this->anyRouter());
+            this->updateLists(this->anyRouter());
         } else if (kind == 98) {
             this->crash();
         } else {
@@ -356,10 +358,10 @@
         }
     }
 
-    void learnAll()
+    void updateAllLists()
     {
         for (const InstanceId &name : std::vector<InstanceId>(this->live)) {
-            this->learn(name);
+            this->updateLists(name);
         }
     }
 
@@ -390,8 +392,8 @@
     std::vector<InstanceId> live;
     std::vector<InstanceId> dead;
     std::map<InstanceId, std::unique_ptr<Router>> routers;
-    std::map<InstanceId, std::size_t> agreed;
-    std::vector<Flying> flying;
+    std::map<InstanceId, std::size_t> knownRouterCount;
+    std::vector<InFlightMessage> messagesInFlight;
     Millis now{1};
     std::uint64_t lastRequest = 0;
     std::uint64_t admissions = 0;
@@ -400,7 +402,7 @@
     std::mt19937_64 random;
     bool lossy;
     PolicyKind policy;
-    bool waits;
+    bool canWait;
 };
 
 std::uint64_t run(Fleet &fleet)
@@ -409,7 +411,7 @@
     for (const int kind : kinds) {
         fleet.step(kind);
     }
-    fleet.learnAll();
+    fleet.updateAllLists();
     for (int i = 0; i < 20; ++i) {
         fleet.settle();
     }
@@ -417,8 +419,8 @@
     fleet.releaseAll();
     for (int i = 0; i < 60; ++i) {
         fleet.settle();
-        if (fleet.waits) {
-            // Some got their place only now.
+        if (fleet.canWait) {
+            // Some waiting reservations were granted only now.
             fleet.releaseAll();
         }
     }
@@ -429,7 +431,7 @@
     return fleet.admissions;
 }
 
-/** How far above the bound the fullest target gets when each of the routers chooses by its own counts alone. */
+/** How far the fullest target exceeds the bound if each router chooses by its own counts alone. */
 std::uint64_t excessAlone(PolicyKind kind)
 {
     std::mt19937_64 random(3);
@@ -499,7 +501,7 @@
     }
 }
 
-TEST_CASE("with few places, where reservations wait at the owner, counts and bound hold in the same way")
+TEST_CASE("with few places, so that reservations wait at the owner, counts and bound hold in the same way")
 {
     for (const bool isLossy : {false, true}) {
         for (const Variant &variant : variants) {
@@ -517,7 +519,7 @@
     }
 }
 
-TEST_CASE("routers that choose by what they alone see break the bound under the same load")
+TEST_CASE("routers that choose by their own counts alone break the bound under the same load")
 {
     for (const PolicyKind kind : {PolicyKind::RoundRobin,
                                   PolicyKind::Rendezvous,
--- a/sequoiausher/coordination/admission/localplacement.h
+++ b/sequoiausher/coordination/admission/localplacement.h
@@ -1,13 +1,14 @@
 #pragma once
 
-// Chooses a target without its owner, within this router's share of the places that the stricter bound leaves.
+// Chooses a target without asking the shard's owner, within this router's share of the places left below the strict
+// load bound.
 //
 //     LocalPlacement placement(self, Millis{3000}, seed);
-//     placement.noteLoad(target, load);
-//     const std::optional<TargetId> target = placement.choose(now, wanted, targets, routers, own);
-//     placement.placed(*target);   // and removed(*target) at the end
+//     placement.recordLoad(target, load);
+//     const std::optional<TargetId> target = placement.choose(now, request, targets, routers, heldCounts);
+//     placement.recordPlacement(*target);   // and recordRemoval(*target) at the end
 
-#include "sequoiausher/coordination/admission/wanted.h"
+#include "sequoiausher/coordination/admission/placementrequest.h"
 #include "sequoiausher/state/targets/targettable.h"
 
 #include <memory>
@@ -15,43 +16,43 @@
 
 namespace Sequoiausher {
 
-/** How many requests on each target; targets with none are left out. */
+/** The number of requests on each target; targets without requests have no element. */
 using TargetCounts = std::unordered_map<TargetId, std::uint32_t>;
 
-/** One fewer on the target, which has at least one. */
-void countDown(TargetCounts &counts, const TargetId &target);
+/** Subtracts one from the target's count, which must be at least one. */
+void decrementCount(TargetCounts &counts, const TargetId &target);
 
-/** The choices that one router makes alone. */
+/** The local placements of one router. */
 class LocalPlacement
 {
 public:
-    /** @param loadLife a target whose last report is older takes nothing: what it carries is not known. */
-    LocalPlacement(InstanceId self, Millis loadLife, std::uint64_t seed);
+    /** @param reportedLoadTtl a target whose last report is older gets no requests, since its load is not known. */
+    LocalPlacement(InstanceId self, Millis reportedLoadTtl, std::uint64_t seed);
     ~LocalPlacement();
     LocalPlacement(const LocalPlacement &) = delete;
     LocalPlacement &operator=(const LocalPlacement &) = delete;
 
-    void noteLoad(const TargetId &target, const ReportedLoad &load);
+    void recordLoad(const TargetId &target, const ReportedLoad &load);
 
-    /** A request was placed on the target by this router alone. */
-    void placed(const TargetId &target);
-    /** That request ended. */
-    void removed(const TargetId &target);
+    /** Records that this router placed a request on the target without its owner. */
+    void recordPlacement(const TargetId &target);
+    /** Records that a request counted by recordPlacement() ended. */
+    void recordRemoval(const TargetId &target);
 
     /**
-     * @param targets of the shard.
-     * @param routers the live ones.
-     * @param own what this router holds on each target, however granted.
-     * @return none where this router has no place left.
+     * @param targets the targets of the shard.
+     * @param routers the live routers.
+     * @param heldCounts what this router holds on each target, whether granted by an owner or locally.
+     * @return none if this router has no place left.
      */
     std::optional<TargetId> choose(Millis now,
-                                   const Wanted &wanted,
+                                   const PlacementRequest &placementRequest,
                                    const std::vector<TargetView> &targets,
                                    const std::vector<InstanceId> &routers,
-                                   const TargetCounts &own);
+                                   const TargetCounts &heldCounts);
 
-    /** Drops the loads that are too old to be acted on. */
-    void forget(Millis now);
+    /** Drops the loads that are too old to be used. */
+    void dropStaleLoads(Millis now);
 
 private:
     class Private;
--- a/sequoiausher/coordination/admission/reportdifferentialtest.cpp
+++ b/sequoiausher/coordination/admission/reportdifferentialtest.cpp
@@ -1,5 +1,5 @@
-// Two owners of one shard under the same schedule: one hears reports, the other digests, and a report only where it
-// asks for one. After each round they must count the same.
+// Runs two owners of one shard under the same schedule: one receives reports, the other receives digests and, if it
+// asks for one, a report. After each round, both must have the same counts.
 
 #include "sequoiausher/base/hashing.h"
 #include "sequoiausher/coordination/admission/holdingset.h"
@@ -30,7 +30,7 @@
     return targets;
 }
 
-/** What one entry knows. */
+/** The state of one entry. */
 struct Entry
 {
     std::map<RequestId, TargetId> kept;
@@ -40,13 +40,13 @@
     HoldingsDigest lastDigest;
 };
 
-/** Whether a digest that differs is followed by a report; without, the test must fail. */
-enum class Asking { Reports, Never };
+/** Whether a digest that differs is followed by a report. Without reports, the test must fail. */
+enum class DigestMismatch { RequestReport, Ignore };
 
 class TwoOwners
 {
 public:
-    TwoOwners(std::uint64_t seed, Asking how) : random(seed), asking(how)
+    TwoOwners(std::uint64_t seed, DigestMismatch how) : random(seed), onMismatch(how)
     {
         this->restartOwners();
     }
@@ -54,7 +54,7 @@
     void step(int kind)
     {
         const InstanceId &name = entries.at(this->random() % entries.size());
-        Entry &entry = this->known[name];
+        Entry &entry = this->entryStates[name];
         if (kind < 35) {
             this->reserve(name, entry);
         } else if (kind < 55) {
@@ -68,7 +68,7 @@
         } else if (kind == 91) {
             this->restartEntry(entry);
         } else {
-            this->pass(Millis{static_cast<std::int64_t>(this->random() % 4000)});
+            this->advance(Millis{static_cast<std::int64_t>(this->random() % 4000)});
         }
     }
 
@@ -79,13 +79,13 @@
             RC_ASSERT(this->byReports->counted(target) == this->byDigests->counted(target));
         }
         RC_ASSERT(this->byReports->holdings() == this->byDigests->holdings());
-        RC_ASSERT(this->byReports->settled(this->now) == this->byDigests->settled(this->now));
+        RC_ASSERT(this->byReports->isSettled(this->now) == this->byDigests->isSettled(this->now));
     }
 
-    std::size_t spared = 0;
+    std::size_t avoidedReports = 0;
 
 private:
-    /** Both forget all, and the entries do not notice. */
+    /** Both owners lose all counts, and the entries do not notice. */
     void restartOwners()
     {
         for (auto *owner : {&this->byReports, &this->byDigests}) {
@@ -102,7 +102,7 @@
         entry.sequence += 1000;
     }
 
-    /** Both owners decide alike, since they count alike; the message, or its answer, may be lost for both. */
+    /** Both owners have the same counts and must answer the same. The message or its answer may be lost for both. */
     void reserve(const InstanceId &name, Entry &entry)
     {
         const ReserveRequest request{
@@ -161,14 +161,14 @@
         entry.lastDigest = digest;
         this->byReports->receive(this->now, name, report);
         if (!this->byDigests->receive(this->now, name, digest)) {
-            this->spared += 1;
-        } else if (this->asking == Asking::Reports) {
+            this->avoidedReports += 1;
+        } else if (this->onMismatch == DigestMismatch::RequestReport) {
             this->byDigests->receive(this->now, name, report);
         }
         this->compare();
     }
 
-    /** The last round's messages come again, late. */
+    /** The messages of the last round arrive again, late. */
     void repeat(const InstanceId &name, const Entry &entry)
     {
         if (entry.sequence > 0) {
@@ -179,7 +179,7 @@
         }
     }
 
-    void pass(Millis span)
+    void advance(Millis span)
     {
         this->now += span;
         this->byReports->tick(this->now);
@@ -187,15 +187,15 @@
     }
 
     std::mt19937_64 random;
-    Asking asking;
+    DigestMismatch onMismatch;
     Millis now{1};
     std::uint64_t lastRequest = 0;
-    std::map<InstanceId, Entry> known;
+    std::map<InstanceId, Entry> entryStates;
     std::unique_ptr<ShardOwner> byReports;
     std::unique_ptr<ShardOwner> byDigests;
 };
 
-void play(TwoOwners &owners)
+void runSchedule(TwoOwners &owners)
 {
     const auto kinds = *rc::gen::resize(400, rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 100)));
     for (const int kind : kinds) {
@@ -204,11 +204,11 @@
     owners.compare();
 }
 
-bool holdsOver(Asking asking, std::size_t seeds)
+bool countsAgree(DigestMismatch onMismatch, std::size_t seeds)
 {
     try {
         for (std::uint64_t seed = 0; seed < seeds; ++seed) {
-            TwoOwners owners(seed, asking);
+            TwoOwners owners(seed, onMismatch);
             std::mt19937_64 random(seed);
             for (int i = 0; i < 300; ++i) {
                 owners.step(static_cast<int>(random() % 100));
@@ -222,20 +222,20 @@
 
 } // namespace
 
-// Symptom: an owner counts too many or too few on a target, and its bound is broken or places stay empty.
-// Events: requests, answers and releases are lost; the entry's digest differs from what the owner counts.
-// Cause: taking a digest for more than it says.
-TEST_CASE("an owner that hears digests counts what one that hears reports does")
+// Guards against an owner that counts too many or too few reservations on a target, so that its bound is broken or
+// places stay empty: requests, answers and releases are lost, the entry's digest differs from what the owner counts,
+// and the owner concludes more from the digest than it shows.
+TEST_CASE("an owner that receives digests has the same counts as an owner that receives reports")
 {
     CHECK(rc::check([](std::uint64_t seed) {
-        TwoOwners owners(seed, Asking::Reports);
-        play(owners);
-        RC_CLASSIFY(owners.spared > 10, "more than ten reports spared");
+        TwoOwners owners(seed, DigestMismatch::RequestReport);
+        runSchedule(owners);
+        RC_CLASSIFY(owners.avoidedReports > 10, "more than ten reports spared");
     }));
-    CHECK(holdsOver(Asking::Reports, 20));
+    CHECK(countsAgree(DigestMismatch::RequestReport, 20));
 }
 
 TEST_CASE("an owner that does not ask for the report where a digest differs counts wrongly")
 {
-    CHECK(!holdsOver(Asking::Never, 20));
+    CHECK(!countsAgree(DigestMismatch::Ignore, 20));
 }
--- a/sequoiausher/coordination/admission/reserver.cpp
+++ b/sequoiausher/coordination/admission/reserver.cpp
@@ -15,30 +15,31 @@
 namespace {
 
 constexpr int incarnationShift = 20;
-// A router further back in a target's order has no place on it while fewer than this many are free.
-constexpr std::size_t askedRanks = 16;
-// The queue refuses what is late by itself; it only has to look again.
+// A router of this rank or higher in a target's rendezvous order has no local share while the target has this many free
+// places or fewer, so it does not query the target's load.
+constexpr std::size_t loadQueryRanks = 16;
+// The router's queue refuses late requests itself and only has to check again.
 constexpr Millis lateRetryAfter{1};
 
-/** A reservation asked for and not answered. */
+/** A reservation whose request has not been answered. */
 struct Pending
 {
-    Wanted wanted;
+    PlacementRequest placementRequest;
     RequestId reservation;
     ShardRoute route;
     Millis deadline;
-    /** Asked for so often without an answer. */
-    std::uint32_t tries = 0;
-    /** The owner answered NotOwner, so this waits for lists to agree. */
-    bool refusedByOwner = false;
-    /** It was passed on to the router that a NotOwner named. */
+    /** How often the request was sent without an answer. */
+    std::uint32_t attempts = 0;
+    /** The owner answered NotOwner, so the reservation waits until the routers' lists agree. */
+    bool awaitsOwnerChange = false;
+    /** The reservation was redirected to the router that a NotOwner answer named. */
     bool redirected = false;
-    /** Until when it follows an owner that moves; set by the first NotOwner. */
-    Millis followUntil = Millis::never();
+    /** When to stop following NotOwner answers; set by the first of them. */
+    Millis redirectDeadline = Millis::never();
 };
 
 /** A reservation that was granted. */
-struct Kept
+struct GrantedReservation
 {
     RequestId reservation;
     PoolId pool;
@@ -52,52 +53,52 @@
 class Reserver::Private
 {
 public:
-    Private(InstanceId name, const ReserverSettings &given, std::uint64_t seed, const ShardMap &shards)
+    Private(InstanceId name, const ReserverSettings &reserverSettings, std::uint64_t seed, const ShardMap &shards)
         : self(name)
-        , settings(given)
+        , settings(reserverSettings)
         , map(shards)
-        , placement(std::move(name), given.loadLife, seed)
+        , placement(std::move(name), reserverSettings.reportedLoadTtl, seed)
     {
     }
 
-    void ask(Millis now, Pending &pending, Outbox &outbox);
-    void askAnew(Millis now, Pending &pending, Outbox &outbox);
-    void askOwner(Millis now, Pending &pending, const ShardRoute &route, Outbox &outbox);
-    void follow(Millis now, Pending &pending, const InstanceId &named, Outbox &outbox);
-    void giveUp(Pending &pending, Outbox &outbox) const;
+    void sendRequest(Millis now, Pending &pending, Outbox &outbox);
+    void reroute(Millis now, Pending &pending, Outbox &outbox);
+    void requestFrom(Millis now, Pending &pending, const ShardRoute &route, Outbox &outbox);
+    void handleNotOwner(Millis now, Pending &pending, const InstanceId &named, Outbox &outbox);
+    void cancelPending(Pending &pending, Outbox &outbox) const;
     void grant(const Pending &pending, const TargetId &target, bool isLocal);
     void refuse(const RequestId &request, ReserveOutcome outcome, Millis retryAfter);
-    void decideAlone(Millis now, const RequestId &request);
-    void expire(Millis now, const RequestId &request, Outbox &outbox);
+    void placeLocally(Millis now, const RequestId &request);
+    void handleTimeout(Millis now, const RequestId &request, Outbox &outbox);
     void report(const ShardId &shard, Outbox &outbox);
     void sendReport(const ShardId &shard, const InstanceId &owner, Outbox &outbox);
     void sendDigest(const ShardId &shard, const InstanceId &owner, Outbox &outbox);
     bool takesDigests(const ShardId &shard, const InstanceId &owner) const;
     bool isUnreachable(Millis now, const InstanceId &owner) const;
     std::set<InstanceId> lateOwners() const;
-    ShardId shardOf(const Kept &kept) const;
+    ShardId shardOf(const GrantedReservation &granted) const;
     void sendRelease(const InstanceId &to, const RequestId &reservation, const ShardId &shard, Outbox &outbox) const;
-    void letGo(const Kept &kept, Outbox &outbox);
+    void releaseGranted(const GrantedReservation &granted, Outbox &outbox);
 
     InstanceId self;
     ReserverSettings settings;
     const ShardMap &map;
     LocalPlacement placement;
     std::uint64_t sequence = 0;
-    std::uint64_t reservations = 0;
+    std::uint64_t reservationCount = 0;
     std::unordered_map<RequestId, Pending> pending;
-    std::unordered_map<RequestId, Kept> kept;
-    /** From the ids on the wire back to the requests. */
+    std::unordered_map<RequestId, GrantedReservation> granted;
+    /** Maps the reservation ids on the wire to the requests. */
     std::unordered_map<RequestId, RequestId> requestOf;
-    /** Held by this router on each target. */
-    TargetCounts own;
+    /** Number of reservations of this router on each target. */
+    TargetCounts ownCounts;
     std::map<InstanceId, Millis> unreachableUntil;
     std::map<ShardId, InstanceId> owners;
-    /** The owners that said that they take digests, each until it changes or its connection breaks. */
+    /** The owners that accept digests; an entry is removed when the owner changes or its connection breaks. */
     std::map<ShardId, InstanceId> digestOwners;
     /**
-     * Shards that the next round of reports goes to: those asked since the last one, or where that named something. A
-     * grant whose answer and release were both lost is undone by it, also where this router holds nothing now.
+     * The shards of the next round of reports: those asked since the last round, and those whose last report was not
+     * empty. The report undoes a grant whose answer and release were both lost, even if this router holds nothing now.
      */
     std::map<ShardId, bool> reportDue;
     Millis nextReport;
@@ -110,22 +111,23 @@
     return owner.empty() || (entry != this->unreachableUntil.end() && now < entry->second);
 }
 
-// What goes wrong if loads are asked for only once an owner counts as unreachable: the first requests then placed alone
-// know no load and are refused. It shows as pool_full for half a second after an owner's death.
+// Owners that have not answered a request in time. If loads were queried only once an owner counts as unreachable, the
+// first local placements would have no loads and be refused, with pool_full for half a second after an owner's death.
 std::set<InstanceId> Reserver::Private::lateOwners() const
 {
     std::set<InstanceId> late;
     for (const auto &entry : this->pending) {
-        if (entry.second.tries > 1) {
+        if (entry.second.attempts > 1) {
             late.insert(entry.second.route.owner);
         }
     }
     return late;
 }
 
-ShardId Reserver::Private::shardOf(const Kept &keptOne) const
+ShardId Reserver::Private::shardOf(const GrantedReservation &grantedReservation) const
 {
-    return ShardId{keptOne.pool, this->map.shardOfTarget(keptOne.pool, keptOne.target)};
+    return ShardId{grantedReservation.pool,
+                   this->map.shardOfTarget(grantedReservation.pool, grantedReservation.target)};
 }
 
 void Reserver::Private::sendRelease(const InstanceId &to,
@@ -146,156 +148,160 @@
     this->pending.erase(refused);
 }
 
-void Reserver::Private::grant(const Pending &pendingOne, const TargetId &target, bool isLocal)
+void Reserver::Private::grant(const Pending &pendingRequest, const TargetId &target, bool isLocal)
 {
-    const RequestId &request = pendingOne.wanted.request;
-    const InstanceId grantedBy = isLocal ? InstanceId{} : pendingOne.route.owner;
-    this->kept[request] = Kept{pendingOne.reservation, pendingOne.wanted.pool, target, grantedBy, isLocal};
-    this->own[target] += 1;
+    const RequestId &request = pendingRequest.placementRequest.request;
+    const InstanceId grantedBy = isLocal ? InstanceId{} : pendingRequest.route.owner;
+    this->granted[request] = GrantedReservation{
+        pendingRequest.reservation, pendingRequest.placementRequest.pool, target, grantedBy, isLocal};
+    this->ownCounts[target] += 1;
     if (isLocal) {
-        this->placement.placed(target);
+        this->placement.recordPlacement(target);
     }
     const ReserveOutcome outcome = isLocal ? ReserveOutcome::GrantedLocally : ReserveOutcome::Granted;
     this->results.push_back(ReserveResult{request, outcome, target, Millis{}});
 }
 
-void Reserver::Private::letGo(const Kept &keptOne, Outbox &outbox)
+void Reserver::Private::releaseGranted(const GrantedReservation &grantedReservation, Outbox &outbox)
 {
-    countDown(this->own, keptOne.target);
-    if (keptOne.isLocal) {
-        this->placement.removed(keptOne.target);
+    decrementCount(this->ownCounts, grantedReservation.target);
+    if (grantedReservation.isLocal) {
+        this->placement.recordRemoval(grantedReservation.target);
     }
-    const ShardId shard = this->shardOf(keptOne);
+    const ShardId shard = this->shardOf(grantedReservation);
     const InstanceId owner = this->map.ownerOf(shard);
-    this->sendRelease(owner, keptOne.reservation, shard, outbox);
-    if (keptOne.grantedBy != owner) {
-        // The router that granted it may still believe that it owns the shard.
-        this->sendRelease(keptOne.grantedBy, keptOne.reservation, shard, outbox);
+    this->sendRelease(owner, grantedReservation.reservation, shard, outbox);
+    if (grantedReservation.grantedBy != owner) {
+        // By its own lists, the router that granted the reservation may still own the shard.
+        this->sendRelease(grantedReservation.grantedBy, grantedReservation.reservation, shard, outbox);
     }
-    this->requestOf.erase(keptOne.reservation);
+    this->requestOf.erase(grantedReservation.reservation);
 }
 
-void Reserver::Private::ask(Millis now, Pending &pendingOne, Outbox &outbox)
+void Reserver::Private::sendRequest(Millis now, Pending &pendingRequest, Outbox &outbox)
 {
-    const Wanted &wanted = pendingOne.wanted;
-    pendingOne.tries += 1;
-    this->reportDue[pendingOne.route.shard] = true;
-    pendingOne.refusedByOwner = false;
-    pendingOne.deadline = std::min(now + this->settings.replyTimeout, wanted.giveUpAt);
-    outbox.push_back({pendingOne.route.owner,
-                      ReserveRequest{pendingOne.reservation,
-                                     wanted.pool,
-                                     pendingOne.route.shard.shard,
-                                     wanted.chatHash,
-                                     wanted.policy,
-                                     wanted.boundPercent,
-                                     wanted.excluded,
-                                     wanted.requestClass,
-                                     wanted.prefixHash,
-                                     wanted.organisation}});
+    const PlacementRequest &placementRequest = pendingRequest.placementRequest;
+    pendingRequest.attempts += 1;
+    this->reportDue[pendingRequest.route.shard] = true;
+    pendingRequest.awaitsOwnerChange = false;
+    pendingRequest.deadline = std::min(now + this->settings.replyTimeout, placementRequest.giveUpAt);
+    outbox.push_back({pendingRequest.route.owner,
+                      ReserveRequest{pendingRequest.reservation,
+                                     placementRequest.pool,
+                                     pendingRequest.route.shard.shard,
+                                     placementRequest.chatHash,
+                                     placementRequest.policy,
+                                     placementRequest.boundPercent,
+                                     placementRequest.excluded,
+                                     placementRequest.requestClass,
+                                     placementRequest.prefixHash,
+                                     placementRequest.organisation}});
 }
 
-void Reserver::Private::giveUp(Pending &pendingOne, Outbox &outbox) const
+void Reserver::Private::cancelPending(Pending &pendingRequest, Outbox &outbox) const
 {
-    // The owner may have granted it, with the answer lost or late.
-    this->sendRelease(pendingOne.route.owner, pendingOne.reservation, pendingOne.route.shard, outbox);
+    // The owner may have granted the reservation, with the answer lost or late.
+    this->sendRelease(pendingRequest.route.owner, pendingRequest.reservation, pendingRequest.route.shard, outbox);
 }
 
-void Reserver::Private::askAnew(Millis now, Pending &pendingOne, Outbox &outbox)
+void Reserver::Private::reroute(Millis now, Pending &pendingRequest, Outbox &outbox)
 {
-    const std::optional<ShardRoute> route = this->map.routeOf(pendingOne.wanted.pool, pendingOne.wanted.chatHash);
-    const RequestId request = pendingOne.wanted.request;
+    const std::optional<ShardRoute> route
+        = this->map.routeOf(pendingRequest.placementRequest.pool, pendingRequest.placementRequest.chatHash);
+    const RequestId request = pendingRequest.placementRequest.request;
     if (!route) {
         this->refuse(request, ReserveOutcome::NoTarget, this->settings.retryAfter);
         return;
     }
-    pendingOne.redirected = false;
-    this->askOwner(now, pendingOne, *route, outbox);
+    pendingRequest.redirected = false;
+    this->requestFrom(now, pendingRequest, *route, outbox);
 }
 
-void Reserver::Private::askOwner(Millis now, Pending &pendingOne, const ShardRoute &route, Outbox &outbox)
+void Reserver::Private::requestFrom(Millis now, Pending &pendingRequest, const ShardRoute &route, Outbox &outbox)
 {
-    const RequestId request = pendingOne.wanted.request;
-    // A new id for each shard and owner asked, so that the release of the one cannot touch the other.
-    constexpr std::uint64_t spread = 0x9e3779b97f4a7c15ULL;
-    this->requestOf.erase(pendingOne.reservation);
-    pendingOne.route = route;
-    this->reservations += 1;
-    pendingOne.reservation = RequestId{request.high, request.low ^ (this->reservations * spread)};
-    this->requestOf[pendingOne.reservation] = request;
+    const RequestId request = pendingRequest.placementRequest.request;
+    // Each shard and owner gets a new id, so that a release of an earlier reservation cannot undo this one.
+    constexpr std::uint64_t idMultiplier = 0x9e3779b97f4a7c15ULL;
+    this->requestOf.erase(pendingRequest.reservation);
+    pendingRequest.route = route;
+    this->reservationCount += 1;
+    pendingRequest.reservation = RequestId{request.high, request.low ^ (this->reservationCount * idMultiplier)};
+    this->requestOf[pendingRequest.reservation] = request;
     if (this->isUnreachable(now, route.owner)) {
-        this->decideAlone(now, request);
+        this->placeLocally(now, request);
         return;
     }
-    this->ask(now, pendingOne, outbox);
+    this->sendRequest(now, pendingRequest, outbox);
 }
 
-// What goes wrong: a router returns, the shard's owner learns it first and hands out nothing more, and for about a
-// second this router's list still names the former owner. Asking that one alone until the tries are used up refuses
-// requests while every target has room; it shows as pool_full in a planned stop. So the named owner is asked at once,
-// and where the two disagree too, this waits for the lists, for a bounded time.
-void Reserver::Private::follow(Millis now, Pending &moved, const InstanceId &named, Outbox &outbox)
+// When a router returns, the shard's former owner may notice first and stop granting, while this router's list still
+// names the former owner for about a second. Asking only the former owner until all attempts are used up would refuse
+// requests (as pool_full, in a planned stop) although every target has room. So the router named in the answer is asked
+// at once. If that router answers NotOwner too, the reservation waits for the lists to agree, for a bounded time.
+void Reserver::Private::handleNotOwner(Millis now, Pending &pendingRequest, const InstanceId &named, Outbox &outbox)
 {
-    if (moved.refusedByOwner) {
+    if (pendingRequest.awaitsOwnerChange) {
         return;
     }
-    // It did answer.
-    moved.tries -= 1;
-    if (moved.followUntil == Millis::never()) {
-        moved.followUntil = now + this->settings.ownerMoveLimit;
+    // The owner answered, so the attempt does not count as unanswered.
+    pendingRequest.attempts -= 1;
+    if (pendingRequest.redirectDeadline == Millis::never()) {
+        pendingRequest.redirectDeadline = now + this->settings.redirectTimeout;
     }
-    const bool mayRedirect = !moved.redirected && named != moved.route.owner && !this->isUnreachable(now, named);
+    const bool mayRedirect
+        = !pendingRequest.redirected && named != pendingRequest.route.owner && !this->isUnreachable(now, named);
     if (mayRedirect) {
-        moved.redirected = true;
-        // What goes wrong without it: the question was sent twice, the second one finds the shard's owner where the
-        // first did not, and a place is granted that nobody takes. It shows as a target that counts one too many for
-        // seconds.
-        this->giveUp(moved, outbox);
-        this->askOwner(now, moved, ShardRoute{moved.route.shard, named}, outbox);
+        pendingRequest.redirected = true;
+        // The request may have been sent twice, and the router may own the shard again when the second copy arrives.
+        // Without this release, that copy would be granted a place that nobody uses, and the target would count one
+        // reservation too many for seconds.
+        this->cancelPending(pendingRequest, outbox);
+        this->requestFrom(now, pendingRequest, ShardRoute{pendingRequest.route.shard, named}, outbox);
         return;
     }
-    moved.refusedByOwner = true;
-    moved.deadline = now + this->settings.notOwnerDelay;
+    pendingRequest.awaitsOwnerChange = true;
+    pendingRequest.deadline = now + this->settings.notOwnerDelay;
 }
 
-void Reserver::Private::decideAlone(Millis now, const RequestId &request)
+void Reserver::Private::placeLocally(Millis now, const RequestId &request)
 {
-    const Pending &alone = this->pending.at(request);
-    const std::vector<TargetView> targets = this->map.targetsOf(alone.route.shard);
+    const Pending &pendingRequest = this->pending.at(request);
+    const std::vector<TargetView> targets = this->map.targetsOf(pendingRequest.route.shard);
     const std::optional<TargetId> target
-        = this->placement.choose(now, alone.wanted, targets, this->map.instances(), this->own);
+        = this->placement.choose(now, pendingRequest.placementRequest, targets, this->map.instances(), this->ownCounts);
     if (target) {
-        this->grant(alone, *target, true);
+        this->grant(pendingRequest, *target, true);
         this->pending.erase(request);
         return;
     }
     this->refuse(request, ReserveOutcome::Unreachable, this->settings.retryAfter);
 }
 
-void Reserver::Private::expire(Millis now, const RequestId &request, Outbox &outbox)
+void Reserver::Private::handleTimeout(Millis now, const RequestId &request, Outbox &outbox)
 {
-    Pending &expired = this->pending.at(request);
-    if (now >= expired.wanted.giveUpAt) {
-        this->giveUp(expired, outbox);
+    Pending &pendingRequest = this->pending.at(request);
+    if (now >= pendingRequest.placementRequest.giveUpAt) {
+        this->cancelPending(pendingRequest, outbox);
         this->refuse(request, ReserveOutcome::Full, lateRetryAfter);
         return;
     }
-    const bool sameOwner = this->map.ownerOf(expired.route.shard) == expired.route.owner;
-    const bool mayAsk = expired.refusedByOwner ? now < expired.followUntil : expired.tries < this->settings.tries;
-    if (mayAsk) {
-        if (sameOwner && !this->isUnreachable(now, expired.route.owner)) {
-            this->ask(now, expired, outbox);
+    const bool sameOwner = this->map.ownerOf(pendingRequest.route.shard) == pendingRequest.route.owner;
+    const bool mayRetry = pendingRequest.awaitsOwnerChange ? now < pendingRequest.redirectDeadline
+                                                           : pendingRequest.attempts < this->settings.maxAttempts;
+    if (mayRetry) {
+        if (sameOwner && !this->isUnreachable(now, pendingRequest.route.owner)) {
+            this->sendRequest(now, pendingRequest, outbox);
             return;
         }
-        this->giveUp(expired, outbox);
-        this->askAnew(now, expired, outbox);
+        this->cancelPending(pendingRequest, outbox);
+        this->reroute(now, pendingRequest, outbox);
         return;
     }
-    if (!expired.refusedByOwner) {
-        this->unreachableUntil[expired.route.owner] = now + this->settings.unreachableTime;
+    if (!pendingRequest.awaitsOwnerChange) {
+        this->unreachableUntil[pendingRequest.route.owner] = now + this->settings.unreachableTime;
     }
-    this->giveUp(expired, outbox);
-    this->decideAlone(now, request);
+    this->cancelPending(pendingRequest, outbox);
+    this->placeLocally(now, request);
 }
 
 bool Reserver::Private::takesDigests(const ShardId &shard, const InstanceId &owner) const
@@ -317,12 +323,12 @@
     }
 }
 
-// What is asked for and not answered is not in the digest: the owner may count it or not. Where it does, it asks for
-// the report, which names it.
+// Pending reservations are not in the digest, since the owner may count them or not. If the owner does, the digests
+// differ and the owner asks for the report, which lists the pending reservations.
 void Reserver::Private::sendDigest(const ShardId &shard, const InstanceId &owner, Outbox &outbox)
 {
     HoldingSet set;
-    for (const auto &entry : this->kept) {
+    for (const auto &entry : this->granted) {
         if (this->shardOf(entry.second) == shard) {
             set.add(entry.second.reservation);
         }
@@ -338,7 +344,7 @@
 {
     HoldingsReport message{shard.pool, shard.shard, ++this->sequence, {}};
     message.wantsAnswer = this->settings.sendsDigests && !this->takesDigests(shard, owner);
-    for (const auto &entry : this->kept) {
+    for (const auto &entry : this->granted) {
         if (this->shardOf(entry.second) == shard) {
             message.holdings.push_back(Holding{entry.second.reservation, entry.second.target});
         }
@@ -364,26 +370,26 @@
 
 Reserver::~Reserver() = default;
 
-void Reserver::reserve(Millis now, const Wanted &wanted, Outbox &outbox)
+void Reserver::reserve(Millis now, const PlacementRequest &placementRequest, Outbox &outbox)
 {
-    this->release(now, wanted.request, outbox);
-    Pending &pending = this->d->pending[wanted.request];
-    pending.wanted = wanted;
-    this->d->askAnew(now, pending, outbox);
+    this->release(now, placementRequest.request, outbox);
+    Pending &pending = this->d->pending[placementRequest.request];
+    pending.placementRequest = placementRequest;
+    this->d->reroute(now, pending, outbox);
 }
 
 void Reserver::release(Millis /*now*/, const RequestId &request, Outbox &outbox)
 {
     const auto pending = this->d->pending.find(request);
     if (pending != this->d->pending.end()) {
-        this->d->giveUp(pending->second, outbox);
+        this->d->cancelPending(pending->second, outbox);
         this->d->requestOf.erase(pending->second.reservation);
         this->d->pending.erase(pending);
     }
-    const auto kept = this->d->kept.find(request);
-    if (kept != this->d->kept.end()) {
-        this->d->letGo(kept->second, outbox);
-        this->d->kept.erase(kept);
+    const auto granted = this->d->granted.find(request);
+    if (granted != this->d->granted.end()) {
+        this->d->releaseGranted(granted->second, outbox);
+        this->d->granted.erase(granted);
     }
 }
 
@@ -393,8 +399,8 @@
     const auto known = this->d->requestOf.find(message.request);
     const auto found
         = known == this->d->requestOf.end() ? this->d->pending.end() : this->d->pending.find(known->second);
-    // A late or repeated answer is of no use. If it granted something, the release sent when this router gave up, or
-    // else the next report, undoes it.
+    // Ignores late and repeated answers. A grant in such an answer is undone by the release sent when the reservation
+    // was cancelled, or else by the next report.
     if (found == this->d->pending.end() || found->second.route.owner != from) {
         return;
     }
@@ -412,7 +418,7 @@
         this->d->refuse(request, ReserveOutcome::NoTarget, message.retryAfter);
         return;
     case ReserveVerdict::NotOwner:
-        this->d->follow(now, pending, message.owner, outbox);
+        this->d->handleNotOwner(now, pending, message.owner, outbox);
         return;
     }
 }
@@ -430,23 +436,23 @@
     }
 }
 
-void Reserver::listsChanged(Millis now, Outbox &outbox)
+void Reserver::handleMapChange(Millis now, Outbox &outbox)
 {
     std::map<ShardId, InstanceId> owners;
     for (const ShardId &shard : this->d->map.shards()) {
         owners[shard] = this->d->map.ownerOf(shard);
     }
-    std::vector<RequestId> moved;
+    std::vector<RequestId> movedRequests;
     for (const auto &entry : this->d->pending) {
         const auto owner = owners.find(entry.second.route.shard);
         if (owner == owners.end() || owner->second != entry.second.route.owner) {
-            moved.push_back(entry.first);
+            movedRequests.push_back(entry.first);
         }
     }
-    for (const RequestId &request : moved) {
+    for (const RequestId &request : movedRequests) {
         Pending &pending = this->d->pending.at(request);
-        this->d->giveUp(pending, outbox);
-        this->d->askAnew(now, pending, outbox);
+        this->d->cancelPending(pending, outbox);
+        this->d->reroute(now, pending, outbox);
     }
     for (const auto &entry : owners) {
         const auto before = this->d->owners.find(entry.first);
@@ -458,54 +464,56 @@
     this->d->owners = std::move(owners);
 }
 
-void Reserver::peerUnreachable(Millis now, const InstanceId &peer, Outbox &outbox)
+void Reserver::markPeerUnreachable(Millis now, const InstanceId &peer, Outbox &outbox)
 {
-    // What goes wrong if one that left is marked too: a router ends as planned, its successor of the same name takes
-    // its shards back within the second, and is not asked. It shows as refusals just after each return.
+    // A router that has left is not marked: after a planned stop, its successor of the same name may take its shards
+    // back within a second. If the name were marked, the successor would not be asked, and requests would be refused
+    // just after each return.
     const std::vector<InstanceId> &live = this->d->map.instances();
     if (std::binary_search(live.begin(), live.end(), peer)) {
         this->d->unreachableUntil[peer] = now + this->d->settings.unreachableTime;
     }
-    // Its next life may be of a version that knows no digests: it would pass over them, and drop what is held here.
+    // The peer may restart with a version that does not support digests. It would ignore them and drop the reservations
+    // of this router.
     std::erase_if(this->d->digestOwners, [&peer](const auto &entry) { return entry.second == peer; });
-    std::vector<RequestId> waiting;
+    std::vector<RequestId> affected;
     for (const auto &entry : this->d->pending) {
         if (entry.second.route.owner == peer) {
-            waiting.push_back(entry.first);
+            affected.push_back(entry.first);
         }
     }
-    for (const RequestId &request : waiting) {
+    for (const RequestId &request : affected) {
         Pending &pending = this->d->pending.at(request);
-        this->d->giveUp(pending, outbox);
-        this->d->askAnew(now, pending, outbox);
+        this->d->cancelPending(pending, outbox);
+        this->d->reroute(now, pending, outbox);
     }
 }
 
-void Reserver::peerReachable(const InstanceId &peer)
+void Reserver::markPeerReachable(const InstanceId &peer)
 {
     this->d->unreachableUntil.erase(peer);
 }
 
-void Reserver::noteLoad(const TargetId &target, const ReportedLoad &load)
+void Reserver::recordLoad(const TargetId &target, const ReportedLoad &load)
 {
-    this->d->placement.noteLoad(target, load);
+    this->d->placement.recordLoad(target, load);
 }
 
-std::vector<TargetView> Reserver::wantsLoads(Millis now) const
+std::vector<TargetView> Reserver::targetsNeedingLoad(Millis now) const
 {
-    std::vector<TargetView> wanted;
+    std::vector<TargetView> neededTargets;
     const std::set<InstanceId> late = this->d->lateOwners();
     for (const auto &entry : this->d->owners) {
         if (!this->d->isUnreachable(now, entry.second) && !late.contains(entry.second)) {
             continue;
         }
         for (const TargetView &target : this->d->map.targetsOf(entry.first)) {
-            if (routerRank(this->d->map.instances(), this->d->self, target.hash) < askedRanks) {
-                wanted.push_back(target);
+            if (routerRank(this->d->map.instances(), this->d->self, target.hash) < loadQueryRanks) {
+                neededTargets.push_back(target);
             }
         }
     }
-    return wanted;
+    return neededTargets;
 }
 
 void Reserver::tick(Millis now, Outbox &outbox)
@@ -517,13 +525,13 @@
         }
     }
     for (const RequestId &request : expired) {
-        this->d->expire(now, request, outbox);
+        this->d->handleTimeout(now, request, outbox);
     }
     if (now < this->d->nextReport) {
         return;
     }
     this->d->nextReport = now + this->d->settings.reportInterval;
-    for (const auto &entry : this->d->kept) {
+    for (const auto &entry : this->d->granted) {
         this->d->reportDue[this->d->shardOf(entry.second)] = true;
     }
     std::vector<ShardId> due;
@@ -537,7 +545,7 @@
         this->d->report(shard, outbox);
     }
     std::erase_if(this->d->unreachableUntil, [now](const auto &entry) { return now >= entry.second; });
-    this->d->placement.forget(now);
+    this->d->placement.dropStaleLoads(now);
 }
 
 Millis Reserver::nextDeadline() const
@@ -556,7 +564,7 @@
 
 std::size_t Reserver::held() const
 {
-    return this->d->kept.size();
+    return this->d->granted.size();
 }
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/admission/targetcount.cpp
+++ b/sequoiausher/coordination/admission/targetcount.cpp
@@ -6,31 +6,31 @@
 
 namespace {
 
-// Counts are remembered for this long, to be compared with a report that lags.
+// Counts are remembered for this long, to be compared with reports that lag.
 constexpr Millis historySpan{3000};
 
 } // namespace
 
 TargetCount::TargetCount(Millis now)
 {
-    this->history.push_back(Past{now, 0});
+    this->history.push_back(PastCount{now, 0});
 }
 
-void TargetCount::change(Millis now, int by)
+void TargetCount::change(Millis now, int delta)
 {
-    this->current += by;
-    this->history.push_back(Past{now, this->current});
+    this->current += delta;
+    this->history.push_back(PastCount{now, this->current});
     while (this->history.size() > 1 && this->history[1].since + historySpan <= now) {
         this->history.pop_front();
     }
 }
 
-void TargetCount::learn(int by)
+void TargetCount::adjustCounted(int delta)
 {
-    this->current += by;
-    this->uncounted -= by;
-    for (Past &past : this->history) {
-        past.counted += by;
+    this->current += delta;
+    this->uncountedLoad -= delta;
+    for (PastCount &past : this->history) {
+        past.counted += delta;
     }
 }
 
@@ -40,14 +40,14 @@
         return;
     }
     std::int64_t countedThen = this->history.front().counted;
-    for (const Past &past : this->history) {
+    for (const PastCount &past : this->history) {
         if (past.since <= measuredAt) {
             countedThen = past.counted;
         }
     }
     this->lastLoad = load;
     this->reportedAt = measuredAt;
-    this->uncounted = std::int64_t{load} - countedThen;
+    this->uncountedLoad = std::int64_t{load} - countedThen;
 }
 
 std::uint32_t TargetCount::counted() const
@@ -63,7 +63,7 @@
 std::uint32_t TargetCount::estimate(Millis oldest) const
 {
     const bool fresh = this->reportedAt && *this->reportedAt >= oldest;
-    return static_cast<std::uint32_t>(std::max(this->current + (fresh ? this->uncounted : 0), std::int64_t{0}));
+    return static_cast<std::uint32_t>(std::max(this->current + (fresh ? this->uncountedLoad : 0), std::int64_t{0}));
 }
 
 } // namespace Sequoiausher
