--- a/sequoiausher/coordination/gateway/connectiontimeouts.h
+++ b/sequoiausher/coordination/gateway/connectiontimeouts.h
@@ -10,7 +10,7 @@
 //
 // Callers count their idle time from when they received an answer, and by the limit that was announced to them. A
 // gateway that counted from when it wrote the answer, or by a limit that was reduced meanwhile, would close connections
-// that are still in use, and the next request would cross the close.
+// that are still in use, and the next request would race with the close.
 
 #include "sequoiausher/base/millis.h"
 #include "sequoiausher/base/nametable.h"
@@ -22,7 +22,7 @@
 
 /**
  * Returns the idle time that is announced to callers. It is so much shorter than the limit that a request of a caller
- * which keeps to it does not cross the close, even if the request takes seconds over a congested link.
+ * which keeps to it does not race with the close, even if the request takes seconds over a congested link.
  */
 Millis announcedIdleTime(Millis limit);
 
--- a/sequoiausher/coordination/gateway/loadshedder.cpp
+++ b/sequoiausher/coordination/gateway/loadshedder.cpp
@@ -10,8 +10,8 @@
 /**
  * The fraction of the aim that answers should take under overload. The rest is left for answers that take longer than
  * the median. With four fifths of the aim, fewer answers are in time when a service is overloaded by half: 0.57 instead
- * of 0.63 for 840 requests a second with room for 560. With half of the aim, fewer are in time near the limit: 0.94
- * instead of 0.96 for 314 requests a second with two targets left.
+ * of 0.63 for 840 requests a second with room for 560. With half of the aim, as many are in time there, but fewer with
+ * two targets left for 314 requests a second: 0.94 instead of 0.96.
  */
 constexpr double aimFraction = 0.6;
 /**
--- a/sequoiausher/coordination/gateway/loadshedder.h
+++ b/sequoiausher/coordination/gateway/loadshedder.h
@@ -37,7 +37,10 @@
 struct SheddingRank
 {
     RequestClass requestClass = RequestClass::Interactive;
-    /** The aim of the request has passed, most likely because it was refused before. Such requests are shed first. */
+    /**
+     * The aim of the request has passed, most likely because it was refused before. Such requests are shed first, so
+     * that callers that can still be answered in time go ahead.
+     */
     bool isLate = false;
 };
 
--- a/sequoiausher/coordination/gateway/requestfingerprint.h
+++ b/sequoiausher/coordination/gateway/requestfingerprint.h
@@ -14,8 +14,7 @@
 
 namespace Sequoiausher {
 
-/** The organisation is hashed separately, so that no organisation can forge the fingerprint of another one's request.
- */
+/** The organisation is hashed separately, so that none can forge the fingerprint of another organisation's request. */
 struct RequestFingerprint
 {
     std::uint64_t caller = 0;
--- a/sequoiausher/coordination/gateway/requestquarantine.cpp
+++ b/sequoiausher/coordination/gateway/requestquarantine.cpp
@@ -86,8 +86,7 @@
     bool causesCrashes(const RequestFingerprint &request, const Suspect &suspect) const;
     /** Stops refusing requests with fewer crashes, all of them at targets that also had the culprit in flight. */
     void releaseCoincident(const RequestFingerprint &request, const Suspect &culprit);
-    /** Counts the crashes of the suspect; given its fingerprint, only those not explained by another refused request.
-     */
+    /** Counts the crashes of the suspect; given its fingerprint, only those that no other refused request explains. */
     std::size_t countCrashes(const Suspect &suspect, const std::optional<RequestFingerprint> &request) const;
     bool isExplained(const RequestFingerprint &request, const TargetId &target) const;
     /** Returns the suspect as it would be if all its targets whose state is not known yet had ended. */
--- a/sequoiausher/coordination/gateway/requestquarantine.h
+++ b/sequoiausher/coordination/gateway/requestquarantine.h
@@ -33,8 +33,7 @@
      * many targets at once, such as a whole rack, is weak evidence against any one request.
      */
     Millis simultaneousWindow{100};
-    /** The most by which a peer's observation is dated too late, because of the network and processing on both sides.
-     */
+    /** The most by which a peer's observation is dated too late, due to the network and processing on both sides. */
     Millis maxReportDelay{30};
     /** How long a lost connection is remembered. By then the list of targets has dropped a target that ended. */
     Millis lossTtl{5000};
@@ -74,8 +73,7 @@
     /** Records a complete answer to the request. */
     void recordAnswer(const RequestFingerprint &request, Millis now);
 
-    /** Merges a peer's report. @param scope as for PrefixDirectory. @return the requests that are refused from now on.
-     */
+    /** Merges a peer's report. @param scope as for PrefixDirectory. @return the requests refused from now on. */
     std::vector<RequestFingerprint>
     heard(const InstanceId &peer, const std::vector<GatewayCrash> &crashes, Millis now, NewsScope scope);
     /** Returns the report for peer: recent observations, and in every few reports all refused requests. */
@@ -87,8 +85,8 @@
      */
     std::optional<Millis> refusedFor(const RequestFingerprint &request, Millis now);
     /**
-     * Whether a gateway may retry the request at a further target on its own. Such retries stop one target earlier than
-     * repeats by a caller are refused, and do not wait until it is known whether the last target ended.
+     * Whether a gateway may retry the request at a further target on its own. Such retries stop one target before
+     * repeats by a caller are refused, and count the last target before it is known whether it ended.
      */
     bool mayRetry(const RequestFingerprint &request, Millis now) const;
     std::size_t refusedCount() const;
--- a/sequoiausher/coordination/gateway/retrydecision.h
+++ b/sequoiausher/coordination/gateway/retrydecision.h
@@ -21,11 +21,11 @@
     NotSent,
     /** The target stated that it did not run the request. */
     NotRun,
-    /** The connection was lost before an answer, or the answer was malformed or came from another target. */
+    /** The connection or the target was lost before an answer, or the answer was malformed or another request's. */
     NoAnswer,
     /** The wait for an answer timed out, and another target is likely to answer sooner. */
     Silent,
-    /** The connection was lost in the middle of the answer. */
+    /** The answer started but broke off. */
     Broken,
     /** The target answered that the request failed. */
     Failed,
