--- a/sequoiausher/coordination/gateway/attemptoutcome.cpp
+++ b/sequoiausher/coordination/gateway/attemptoutcome.cpp
@@ -6,8 +6,8 @@
 
 constexpr int statusRequestTimeout = 408;
 constexpr int statusMisdirected = 421;
-constexpr int statusTooMany = 429;
-constexpr int firstFailure = 500;
+constexpr int statusTooManyRequests = 429;
+constexpr int firstServerError = 500;
 constexpr int statusUnavailable = 503;
 
 bool isDeclaredNotRun(const AnswerState &state)
@@ -30,9 +30,9 @@
     const AttemptOutcome failed{AttemptEnd::Failed, AttemptMark::Failed};
     if (state.isAnswerBegun) {
         // An answer that is not forwarded as it arrives cannot continue the stream that the caller has in part.
-        return state.isGivenAsItComes ? std::nullopt : std::optional(failed);
+        return state.isForwardedAsItArrives ? std::nullopt : std::optional(failed);
     }
-    return state.status >= firstFailure && state.isIdempotent ? std::optional(failed) : std::nullopt;
+    return state.status >= firstServerError && state.isIdempotent ? std::optional(failed) : std::nullopt;
 }
 
 AttemptOutcome classifyLostAnswer(const AnswerState &state, AttemptEnd how)
@@ -40,9 +40,9 @@
     return isDeclaredNotRun(state) ? notRun(state) : AttemptOutcome{how, AttemptMark::Lost};
 }
 
-std::optional<AttemptOutcome> classifyAbandonedWait(WaitDecision verdict, bool hasHead)
+std::optional<AttemptOutcome> classifyAbandonedWait(WaitDecision decision, bool hasHead)
 {
-    switch (verdict) {
+    switch (decision) {
     case WaitDecision::DeadlineExceeded:
         return AttemptOutcome{AttemptEnd::DeadlineExceeded, hasHead ? AttemptMark::Neutral : AttemptMark::Lost};
     case WaitDecision::NoConnection:
@@ -59,14 +59,14 @@
 
 AttemptMark markForStatus(int status)
 {
-    return status >= firstFailure ? AttemptMark::Failed : AttemptMark::Answered;
+    return status >= firstServerError ? AttemptMark::Failed : AttemptMark::Answered;
 }
 
 bool falselyImpliesNotRun(int status, bool didNotRun)
 {
-    const bool promises = status == statusTooMany || status == statusUnavailable || status == statusRequestTimeout
-        || status == statusMisdirected;
-    return promises && !didNotRun;
+    const bool impliesNotRun = status == statusTooManyRequests || status == statusUnavailable
+        || status == statusRequestTimeout || status == statusMisdirected;
+    return impliesNotRun && !didNotRun;
 }
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/gateway/attemptoutcome.h
+++ b/sequoiausher/coordination/gateway/attemptoutcome.h
@@ -31,7 +31,7 @@
     /** The caller has received the head of an answer, of this attempt or of an earlier one. */
     bool isAnswerBegun = false;
     /** The answer is forwarded while it arrives: a stream of events, or an answer too long to be buffered. */
-    bool isGivenAsItComes = false;
+    bool isForwardedAsItArrives = false;
 };
 
 /** How an attempt ended, and the mark of its target. */
@@ -50,7 +50,7 @@
 AttemptOutcome classifyLostAnswer(const AnswerState &state, AttemptEnd how);
 
 /** Classifies an attempt that the gateway stopped waiting for; none where it keeps waiting. */
-std::optional<AttemptOutcome> classifyAbandonedWait(WaitDecision verdict, bool hasHead);
+std::optional<AttemptOutcome> classifyAbandonedWait(WaitDecision decision, bool hasHead);
 
 /** Returns the mark that the target gets for an answer that goes to the caller. */
 AttemptMark markForStatus(int status);
--- a/sequoiausher/coordination/gateway/attemptoutcometest.cpp
+++ b/sequoiausher/coordination/gateway/attemptoutcometest.cpp
@@ -23,11 +23,11 @@
     return state;
 }
 
-AnswerState begun(int status, bool isGivenAsItComes)
+AnswerState begun(int status, bool isForwardedAsItArrives)
 {
     AnswerState state = answered(status, true);
     state.isAnswerBegun = true;
-    state.isGivenAsItComes = isGivenAsItComes;
+    state.isForwardedAsItArrives = isForwardedAsItArrives;
     return state;
 }
 
@@ -52,7 +52,7 @@
             state.isMisdirected = (bits & 4U) != 0;
             state.isIdempotent = (bits & 8U) != 0;
             state.isAnswerBegun = (bits & 16U) != 0;
-            state.isGivenAsItComes = (bits & 32U) != 0;
+            state.isForwardedAsItArrives = (bits & 32U) != 0;
             CAPTURE(status);
             CAPTURE(bits);
             check(state);
@@ -68,7 +68,7 @@
     {
         const char *what;
         AnswerState state;
-        std::optional<AttemptOutcome> verdict;
+        std::optional<AttemptOutcome> outcome;
     };
     const std::vector<Case> cases{
         {"success", answered(200, false), std::nullopt},
@@ -86,7 +86,7 @@
     };
     for (const Case &given : cases) {
         CAPTURE(given.what);
-        CHECK(classifyCompleteAnswer(given.state) == given.verdict);
+        CHECK(classifyCompleteAnswer(given.state) == given.outcome);
     }
 }
 
@@ -108,7 +108,7 @@
     {
         WaitDecision why;
         bool hasHead;
-        std::optional<AttemptOutcome> verdict;
+        std::optional<AttemptOutcome> outcome;
     };
     const std::vector<Case> cases{
         {WaitDecision::KeepWaiting, false, std::nullopt},
@@ -125,7 +125,7 @@
     for (const Case &given : cases) {
         CAPTURE(nameOf(given.why));
         CAPTURE(given.hasHead);
-        CHECK(classifyAbandonedWait(given.why, given.hasHead) == given.verdict);
+        CHECK(classifyAbandonedWait(given.why, given.hasHead) == given.outcome);
     }
 }
 
@@ -134,12 +134,12 @@
 TEST_CASE("in no state does a request count as not run without the target's statement")
 {
     forAllAnswers([](const AnswerState &state) {
-        const bool hasWord = state.hasHead && (state.didNotRun || state.isMisdirected);
+        const bool hasStatement = state.hasHead && (state.didNotRun || state.isMisdirected);
         const std::optional<AttemptOutcome> whole = classifyCompleteAnswer(state);
-        CHECK((whole && whole->end == AttemptEnd::NotRun) == hasWord);
+        CHECK((whole && whole->end == AttemptEnd::NotRun) == hasStatement);
         CHECK((!whole || whole->end == AttemptEnd::NotRun || whole->end == AttemptEnd::Failed));
-        CHECK((classifyLostAnswer(state, AttemptEnd::NoAnswer).end == AttemptEnd::NotRun) == hasWord);
-        CHECK((classifyLostAnswer(state, AttemptEnd::Broken).end == AttemptEnd::NotRun) == hasWord);
+        CHECK((classifyLostAnswer(state, AttemptEnd::NoAnswer).end == AttemptEnd::NotRun) == hasStatement);
+        CHECK((classifyLostAnswer(state, AttemptEnd::Broken).end == AttemptEnd::NotRun) == hasStatement);
     });
 }
 
@@ -157,7 +157,7 @@
 TEST_CASE("an answer that the caller has in part is completed only by an answer that resumes it")
 {
     forAllAnswers([](const AnswerState &state) {
-        if (state.isAnswerBegun && !state.isGivenAsItComes) {
+        if (state.isAnswerBegun && !state.isForwardedAsItArrives) {
             CHECK(classifyCompleteAnswer(state).has_value());
         }
     });
@@ -168,8 +168,8 @@
     for (const int status : statuses) {
         CAPTURE(status);
         CHECK_FALSE(falselyImpliesNotRun(status, true));
-        const bool promises = status == 408 || status == 421 || status == 429 || status == 503;
-        CHECK(falselyImpliesNotRun(status, false) == promises);
+        const bool impliesNotRun = status == 408 || status == 421 || status == 429 || status == 503;
+        CHECK(falselyImpliesNotRun(status, false) == impliesNotRun);
         CHECK((markForStatus(status) == AttemptMark::Failed) == (status >= 500));
         CHECK((markForStatus(status) == AttemptMark::Answered) == (status < 500));
     }
--- a/sequoiausher/coordination/gateway/attempttimeout.cpp
+++ b/sequoiausher/coordination/gateway/attempttimeout.cpp
@@ -25,10 +25,10 @@
 
 Millis computeFirstAnswerTimeout(const WaitState &state)
 {
-    const bool isAtWork = state.targetActiveAt > state.sentAt;
-    const double share = isAtWork ? activeTargetAimFactor : quietTargetAimFactor;
-    const auto part = static_cast<std::int64_t>(static_cast<double>(state.latencyAim.count) * share);
-    return std::max(Millis{part}, state.usualFirstAnswer * usualTimeFactor);
+    const bool isTargetActive = state.targetActiveAt > state.sentAt;
+    const double factor = isTargetActive ? activeTargetAimFactor : quietTargetAimFactor;
+    const auto fromAim = static_cast<std::int64_t>(static_cast<double>(state.latencyAim.count) * factor);
+    return std::max(Millis{fromAim}, state.usualFirstAnswer * usualTimeFactor);
 }
 
 Millis computeAnswerTimeout(const WaitState &state)
@@ -50,7 +50,7 @@
         return WaitDecision::KeepWaiting;
     }
     const Millis silence = state.now - state.lastPartAt;
-    if (state.isLifeOver && silence >= restartGrace) {
+    if (state.isProcessGone && silence >= restartGrace) {
         return WaitDecision::Lost;
     }
     const bool isOverdue = silence >= computeAnswerTimeout(state);
--- a/sequoiausher/coordination/gateway/attempttimeout.h
+++ b/sequoiausher/coordination/gateway/attempttimeout.h
@@ -33,7 +33,7 @@
     /** The caller reads more slowly than the target sends, so reading from the target is paused. */
     bool isReadingPaused = false;
     /** The target has restarted since, or another instance has its name: the process that had the request is gone. */
-    bool isLifeOver = false;
+    bool isProcessGone = false;
     /** The request may also run at another target, and has attempts left. */
     bool mayRunElsewhere = false;
     Millis latencyAim;
--- a/sequoiausher/coordination/gateway/attempttimeouttest.cpp
+++ b/sequoiausher/coordination/gateway/attempttimeouttest.cpp
@@ -34,7 +34,7 @@
     {
         const char *what;
         std::function<void(WaitState &)> change;
-        WaitDecision verdict;
+        WaitDecision decision;
     };
     const std::vector<Case> cases{
         {"answer not due yet", [](WaitState &) {}, WaitDecision::KeepWaiting},
@@ -91,23 +91,23 @@
              s.isReadingPaused = true;
          },
          WaitDecision::KeepWaiting},
-        {"target restarted just now", [](WaitState &s) { s.isLifeOver = true; }, WaitDecision::KeepWaiting},
+        {"target restarted just now", [](WaitState &s) { s.isProcessGone = true; }, WaitDecision::KeepWaiting},
         {"target restarted",
          [](WaitState &s) {
-             s.isLifeOver = true;
+             s.isProcessGone = true;
              s.now = Millis{10400};
          },
          WaitDecision::Lost},
         {"target restarted, and the request must not run twice",
          [](WaitState &s) {
-             s.isLifeOver = true;
+             s.isProcessGone = true;
              s.mayRunElsewhere = false;
              s.now = Millis{10400};
          },
          WaitDecision::Lost},
         {"target restarted, but the answer still arrives",
          [](WaitState &s) {
-             s.isLifeOver = true;
+             s.isProcessGone = true;
              s.hasEvents = true;
              s.now = Millis{10600};
              s.lastPartAt = Millis{10500};
@@ -118,6 +118,6 @@
         CAPTURE(one.what);
         WaitState state = usual();
         one.change(state);
-        CHECK(checkWait(state) == one.verdict);
+        CHECK(checkWait(state) == one.decision);
     }
 }
--- a/sequoiausher/coordination/gateway/callerwaitestimator.cpp
+++ b/sequoiausher/coordination/gateway/callerwaitestimator.cpp
@@ -13,14 +13,14 @@
 
 Millis CallerWaitEstimator::estimateWaited(const std::string &route, Millis timeLeft, Millis now)
 {
-    Longest &longest = this->routes[route];
-    if (now >= longest.since + windowLength * 2) {
+    LongestTimeLeft &longest = this->routes[route];
+    if (now >= longest.windowStart + windowLength * 2) {
         longest = {Millis{0}, Millis{0}, now};
-    } else if (now >= longest.since + windowLength) {
-        longest = {Millis{0}, longest.present, now};
+    } else if (now >= longest.windowStart + windowLength) {
+        longest = {Millis{0}, longest.inCurrentWindow, now};
     }
-    longest.present = std::max(longest.present, timeLeft);
-    return std::max(longest.present, longest.before) - timeLeft;
+    longest.inCurrentWindow = std::max(longest.inCurrentWindow, timeLeft);
+    return std::max(longest.inCurrentWindow, longest.inPreviousWindow) - timeLeft;
 }
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/gateway/callerwaitestimator.h
+++ b/sequoiausher/coordination/gateway/callerwaitestimator.h
@@ -24,14 +24,14 @@
     Millis estimateWaited(const std::string &route, Millis timeLeft, Millis now);
 
 private:
-    struct Longest
+    struct LongestTimeLeft
     {
-        Millis present;
-        Millis before;
-        Millis since;
+        Millis inCurrentWindow;
+        Millis inPreviousWindow;
+        Millis windowStart;
     };
 
-    std::unordered_map<std::string, Longest> routes;
+    std::unordered_map<std::string, LongestTimeLeft> routes;
 };
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/gateway/connectiontimeouts.cpp
+++ b/sequoiausher/coordination/gateway/connectiontimeouts.cpp
@@ -11,7 +11,7 @@
  * enough for the usual 4 MB over a link of 1 Mbit/s. Without this bound, one byte every few seconds would hold a
  * connection for ever.
  */
-constexpr std::int64_t maxBodyIdleLimits = 4;
+constexpr std::int64_t maxBodyTimeInIdleLimits = 4;
 
 } // namespace
 
@@ -35,7 +35,7 @@
     this->idleLimit = limit;
 }
 
-void IdleClock::observe(Millis now, std::size_t unacknowledgedBytes)
+void IdleClock::recordUnacknowledged(Millis now, std::size_t unacknowledgedBytes)
 {
     if (this->acknowledgedAt) {
         return;
@@ -53,7 +53,7 @@
     return this->acknowledgedAt.has_value();
 }
 
-Millis IdleClock::since(Millis now) const
+Millis IdleClock::idleSince(Millis now) const
 {
     return this->acknowledgedAt.value_or(std::min(now, this->progressAt + this->idleLimit));
 }
@@ -61,7 +61,7 @@
 bool IdleClock::isOver(Millis now, Millis limit)
 {
     this->idleLimit = std::max(this->idleLimit, limit);
-    return now - this->since(now) >= this->idleLimit;
+    return now - this->idleSince(now) >= this->idleLimit;
 }
 
 PartialRequestDecision checkPartialRequest(const PartialRequest &request, Millis now, Millis headTime, Millis idleTime)
@@ -73,8 +73,8 @@
     if (now - request.lastByteAt >= idleTime) {
         return PartialRequestDecision::BodyStopped;
     }
-    return now - request.firstByteAt >= idleTime * maxBodyIdleLimits ? PartialRequestDecision::BodyTooSlow
-                                                                     : PartialRequestDecision::Wait;
+    return now - request.firstByteAt >= idleTime * maxBodyTimeInIdleLimits ? PartialRequestDecision::BodyTooSlow
+                                                                           : PartialRequestDecision::Wait;
 }
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/gateway/connectiontimeouts.h
+++ b/sequoiausher/coordination/gateway/connectiontimeouts.h
@@ -5,7 +5,7 @@
 //
 //     IdleClock idle(now, limits.idleTime);
 //     idle.recordAnswer(now, limits.idleTime);        // an answer was handed to the kernel
-//     idle.observe(now, unacknowledgedBytes);         // periodically, until the caller has the answer
+//     idle.recordUnacknowledged(now, unacknowledgedBytes);         // periodically, until the caller has the answer
 //     if (idle.isOver(now, limits.idleTime)) { ... }
 //
 // Callers count their idle time from when they received an answer, and by the limit that was announced to them. A
@@ -36,7 +36,7 @@
     /** Records that an answer was handed to the kernel; the connection is idle once its caller has the answer. */
     void recordAnswer(Millis now, Millis idleLimit);
     /** Records how much of the answer the caller has not acknowledged yet. Not needed once isAcknowledged(). */
-    void observe(Millis now, std::size_t unacknowledgedBytes);
+    void recordUnacknowledged(Millis now, std::size_t unacknowledgedBytes);
     /** Whether the caller has acknowledged the whole of the last answer. */
     bool isAcknowledged() const;
 
@@ -45,7 +45,7 @@
      * that a caller that vanished without closing does not keep its connection open for ever. A caller that reads
      * slowly still gets the whole answer.
      */
-    Millis since(Millis now) const;
+    Millis idleSince(Millis now) const;
     /**
      * Whether the connection may be closed: it has been idle for the longest limit in force since the last answer.
      * @param limit the limit in force now.
--- a/sequoiausher/coordination/gateway/connectiontimeoutstest.cpp
+++ b/sequoiausher/coordination/gateway/connectiontimeoutstest.cpp
@@ -24,21 +24,21 @@
     IdleClock idle(Millis{0}, limit);
     idle.recordAnswer(Millis{1000}, limit);
     CHECK_FALSE(idle.isAcknowledged());
-    idle.observe(Millis{1040}, 800);
-    CHECK(idle.since(Millis{1040}) == Millis{1040});
-    idle.observe(Millis{6000}, 0);
+    idle.recordUnacknowledged(Millis{1040}, 800);
+    CHECK(idle.idleSince(Millis{1040}) == Millis{1040});
+    idle.recordUnacknowledged(Millis{6000}, 0);
     CHECK(idle.isAcknowledged());
-    CHECK(idle.since(Millis{9000}) == Millis{6000});
+    CHECK(idle.idleSince(Millis{9000}) == Millis{6000});
     SUBCASE("the first observation counts")
     {
-        idle.observe(Millis{7000}, 0);
-        CHECK(idle.since(Millis{9000}) == Millis{6000});
+        idle.recordUnacknowledged(Millis{7000}, 0);
+        CHECK(idle.idleSince(Millis{9000}) == Millis{6000});
     }
     SUBCASE("the next answer restarts the clock")
     {
         idle.recordAnswer(Millis{8000}, limit);
         CHECK_FALSE(idle.isAcknowledged());
-        CHECK(idle.since(Millis{8500}) == Millis{8500});
+        CHECK(idle.idleSince(Millis{8500}) == Millis{8500});
     }
     CHECK_FALSE(idle.isOver(Millis{20999}, limit));
 }
@@ -52,7 +52,7 @@
     std::size_t left = 2000;
     for (Millis now{2000}; now < Millis{100000}; now = now + Millis{10000}) {
         left -= 100;
-        idle.observe(now, left);
+        idle.recordUnacknowledged(now, left);
         CHECK_FALSE(idle.isOver(now + Millis{9999}, limit));
     }
     // The last part of the answer was acknowledged at 92 s.
@@ -64,8 +64,8 @@
 {
     IdleClock idle(Millis{0}, limit);
     idle.recordAnswer(Millis{1000}, limit);
-    idle.observe(Millis{1040}, 1000);
-    idle.observe(Millis{9000}, 1000);
+    idle.recordUnacknowledged(Millis{1040}, 1000);
+    idle.recordUnacknowledged(Millis{9000}, 1000);
     CHECK_FALSE(idle.isOver(Millis{30999}, limit));
     CHECK(idle.isOver(Millis{31000}, limit));
 }
@@ -86,7 +86,7 @@
     SUBCASE("after an answer under the new limit, the new limit applies")
     {
         idle.recordAnswer(Millis{16000}, Millis{5000});
-        idle.observe(Millis{16010}, 0);
+        idle.recordUnacknowledged(Millis{16010}, 0);
         CHECK(idle.isOver(Millis{21010}, Millis{5000}));
     }
 }
@@ -104,7 +104,7 @@
         const char *what;
         PartialRequest request;
         Millis now;
-        PartialRequestDecision verdict;
+        PartialRequestDecision decision;
     };
     const Case cases[]{
         {"head still arriving", {Millis{1000}, Millis{3900}, false}, Millis{3999}, PartialRequestDecision::Wait},
@@ -132,6 +132,6 @@
     };
     for (const Case &each : cases) {
         CAPTURE(each.what);
-        CHECK(checkPartialRequest(each.request, each.now, Millis{3000}, limit) == each.verdict);
+        CHECK(checkPartialRequest(each.request, each.now, Millis{3000}, limit) == each.decision);
     }
 }
--- a/sequoiausher/coordination/gateway/freshnesstest.cpp
+++ b/sequoiausher/coordination/gateway/freshnesstest.cpp
@@ -66,7 +66,7 @@
 
 namespace {
 
-constexpr Millis longestAge{5000};
+constexpr Millis maxAge{5000};
 
 /** One published version with its time and keys. Only the check knows all of them; the gateways do not. */
 struct Published
@@ -106,7 +106,7 @@
     }
 
     /** Since when a key of version has been revoked without being restored; never() where it is not revoked. */
-    Millis goneSince(Revision version, int key, Millis now) const
+    Millis revokedSince(Revision version, int key, Millis now) const
     {
         Millis since = Millis::never();
         for (const Published &one : this->versions) {
@@ -136,7 +136,7 @@
 };
 
 /** A message in flight: an answer of the store or a report of a peer. */
-struct Underway
+struct InFlightMessage
 {
     Millis arrives;
     std::size_t to = 0;
@@ -173,24 +173,24 @@
     }
 
     /** Counts keys that a gateway still accepts by its age() although they were revoked longer ago than that age. */
-    std::size_t wronglyOpened(Millis now)
+    std::size_t countWronglyAccepted(Millis now)
     {
         std::size_t wrong = 0;
         for (const NaiveGateway &gateway : this->gateways) {
             const Millis age = gateway.freshness.age(gateway.held.version, now + gateway.clockOffset);
-            if (age == Millis::never() || age > longestAge) {
+            if (age == Millis::never() || age > maxAge) {
                 continue;
             }
             for (const int key : gateway.held.keys) {
-                const Millis gone = this->store.goneSince(gateway.held.version, key, now);
-                this->opened += 1;
+                const Millis gone = this->store.revokedSince(gateway.held.version, key, now);
+                this->accepted += 1;
                 wrong += gone != Millis::never() && now - gone > age ? 1 : 0;
             }
         }
         return wrong;
     }
 
-    std::size_t opened = 0;
+    std::size_t accepted = 0;
 
 private:
     bool oneIn(std::uint32_t many)
@@ -240,7 +240,7 @@
     void deliver(Millis now)
     {
         for (std::size_t i = 0; i < this->underway.size();) {
-            const Underway message = this->underway.at(i);
+            const InFlightMessage message = this->underway.at(i);
             if (message.arrives > now) {
                 ++i;
                 continue;
@@ -250,7 +250,7 @@
         }
     }
 
-    void take(const Underway &message)
+    void take(const InFlightMessage &message)
     {
         NaiveGateway &to = this->gateways.at(message.to);
         // Links are bound to one process: a message for a gateway that has restarted since never arrives.
@@ -275,7 +275,7 @@
     NaiveStore store;
     std::uint32_t publishOneIn;
     std::array<NaiveGateway, 3> gateways;
-    std::vector<Underway> underway;
+    std::vector<InFlightMessage> underway;
 };
 
 } // namespace
@@ -286,17 +286,17 @@
 // published: no gateway that relies on age() accepts a key that was revoked longer ago than that age.
 TEST_CASE("no schedule of proofs lets a gateway accept a key that was revoked too long ago")
 {
-    std::size_t opened = 0;
+    std::size_t accepted = 0;
     for (std::uint32_t seed = 1; seed <= 200; ++seed) {
         CAPTURE(seed);
         Schedule schedule(seed);
         for (Millis now{1}; now < Millis{15000}; now = now + Millis{20}) {
             CAPTURE(now.count);
             schedule.step(now);
-            REQUIRE(schedule.wronglyOpened(now) == 0);
+            REQUIRE(schedule.countWronglyAccepted(now) == 0);
         }
-        opened += schedule.opened;
+        accepted += schedule.accepted;
     }
     // Enough keys were accepted for the check to be meaningful.
-    CHECK(opened > 100000);
+    CHECK(accepted > 100000);
 }
--- a/sequoiausher/coordination/gateway/loadshedder.cpp
+++ b/sequoiausher/coordination/gateway/loadshedder.cpp
@@ -30,7 +30,7 @@
 /** Without answers the pressure falls to about a third in this time, since overloads pass within seconds. */
 constexpr Millis decayTime{3000};
 /** This fraction of each class is always admitted, to detect the end of the overload and to prevent starvation. */
-constexpr double minAdmittedPart = 0.1;
+constexpr double minAdmittedFraction = 0.1;
 /** The pressure at which shedding of each class starts: the least urgent class is shed before the others. */
 constexpr double backgroundOnset = 0;
 constexpr double interactiveOnset = 0.9;
@@ -91,16 +91,16 @@
     this->addExcess(service, rejectionExcess, now);
 }
 
-double LoadShedder::admittedPart(const PoolId &service, SheddingRank rank, Millis now) const
+double LoadShedder::admittedFraction(const PoolId &service, SheddingRank rank, Millis now) const
 {
     const double effectivePressure = std::max(this->decayedPressure(service, now) - onsetOf(rank.requestClass), 0.0);
-    return std::max(1 - effectivePressure * (rank.isLate ? lateWeight : 1), minAdmittedPart);
+    return std::max(1 - effectivePressure * (rank.isLate ? lateWeight : 1), minAdmittedFraction);
 }
 
 SheddingDecision LoadShedder::decideAdmission(const PoolId &service, SheddingRank rank, double draw, Millis now) const
 {
-    const double part = this->admittedPart(service, rank, now);
-    return {draw < part, part};
+    const double fraction = this->admittedFraction(service, rank, now);
+    return {draw < fraction, fraction};
 }
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/gateway/loadshedder.h
+++ b/sequoiausher/coordination/gateway/loadshedder.h
@@ -49,7 +49,7 @@
 {
     bool isAdmitted = true;
     /** The fraction of requests of this rank that are admitted, 0 to 1. */
-    double admittedPart = 1;
+    double admittedFraction = 1;
 };
 
 /** Decides for each service which fraction of its requests is admitted. Not thread-safe. */
@@ -64,7 +64,7 @@
     void recordRejection(const PoolId &service, Millis now);
 
     /** Returns the fraction of the requests of a rank that are admitted, 0 to 1. */
-    double admittedPart(const PoolId &service, SheddingRank rank, Millis now) const;
+    double admittedFraction(const PoolId &service, SheddingRank rank, Millis now) const;
 
 private:
     struct Pressure
--- a/sequoiausher/coordination/gateway/loadsheddertest.cpp
+++ b/sequoiausher/coordination/gateway/loadsheddertest.cpp
@@ -26,12 +26,12 @@
 {
     LoadShedder shedder;
     const SheddingRank background{RequestClass::Background, false};
-    CHECK(shedder.admittedPart(service, background, Millis{0}) == 1);
+    CHECK(shedder.admittedFraction(service, background, Millis{0}) == 1);
     Millis now = answer(shedder, 50, Millis{40}, true, Millis{0});
-    CHECK(shedder.admittedPart(service, background, now) == 1);
+    CHECK(shedder.admittedFraction(service, background, now) == 1);
     // The work itself takes this long, so fewer requests would not help.
     now = answer(shedder, 50, Millis{400}, false, now);
-    CHECK(shedder.admittedPart(service, background, now) == 1);
+    CHECK(shedder.admittedFraction(service, background, now) == 1);
     CHECK(shedder.decideAdmission(service, background, 0.999, now).isAdmitted);
 }
 
@@ -43,7 +43,7 @@
     LoadShedder shedder;
     const SheddingRank background{RequestClass::Background, false};
     Millis now = answer(shedder, 9, Millis{150}, true, Millis{0});
-    const double part = shedder.admittedPart(service, background, now);
+    const double part = shedder.admittedFraction(service, background, now);
     CHECK(part < 0.7);
     CHECK(part > 0.4);
     // The increase depends on the time and not on the number of answers that a gateway sees in it.
@@ -51,15 +51,15 @@
     for (int i = 0; i < 90; ++i) {
         busy.recordAnswer(service, {Millis{150}, aim, true}, Millis{i * 10});
     }
-    CHECK(busy.admittedPart(service, background, Millis{900}) == doctest::Approx(part).epsilon(0.3));
+    CHECK(busy.admittedFraction(service, background, Millis{900}) == doctest::Approx(part).epsilon(0.3));
     CHECK_FALSE(shedder.decideAdmission(service, background, 0.9, now).isAdmitted);
-    CHECK(shedder.decideAdmission(service, background, 0.9, now).admittedPart
-          == shedder.admittedPart(service, background, now));
+    CHECK(shedder.decideAdmission(service, background, 0.9, now).admittedFraction
+          == shedder.admittedFraction(service, background, now));
     now = answer(shedder, 100, Millis{150}, true, now);
     // Some requests are always admitted, to prevent starvation and to detect the end of the overload.
-    CHECK(shedder.admittedPart(service, background, now) == doctest::Approx(0.1));
+    CHECK(shedder.admittedFraction(service, background, now) == doctest::Approx(0.1));
     now = answer(shedder, 100, Millis{30}, false, now);
-    CHECK(shedder.admittedPart(service, background, now) == 1);
+    CHECK(shedder.admittedFraction(service, background, now) == 1);
 }
 
 TEST_CASE("late requests are shed before others, and less urgent requests before more urgent ones")
@@ -67,7 +67,7 @@
     LoadShedder shedder;
     const Millis now = answer(shedder, 4, Millis{150}, true, Millis{0});
     const auto part = [&](RequestClass requestClass, bool isLate) {
-        return shedder.admittedPart(service, {requestClass, isLate}, now);
+        return shedder.admittedFraction(service, {requestClass, isLate}, now);
     };
     CHECK(part(RequestClass::Background, true) < part(RequestClass::Background, false));
     CHECK(part(RequestClass::Background, false) < 1);
@@ -75,8 +75,8 @@
     CHECK(part(RequestClass::Urgent, true) == 1);
     // Pressure that shedding the least urgent class cannot relieve reaches the other classes in order.
     const Millis later = answer(shedder, 40, Millis{200}, true, now);
-    const double interactive = shedder.admittedPart(service, {RequestClass::Interactive, false}, later);
-    const double urgent = shedder.admittedPart(service, {RequestClass::Urgent, false}, later);
+    const double interactive = shedder.admittedFraction(service, {RequestClass::Interactive, false}, later);
+    const double urgent = shedder.admittedFraction(service, {RequestClass::Urgent, false}, later);
     CHECK(interactive < 1);
     CHECK(interactive <= urgent);
 }
@@ -88,8 +88,8 @@
     for (int i = 0; i < 8; ++i) {
         shedder.recordRejection(service, Millis{i * 100});
     }
-    const double part = shedder.admittedPart(service, background, Millis{700});
+    const double part = shedder.admittedFraction(service, background, Millis{700});
     CHECK(part < 0.5);
-    CHECK(shedder.admittedPart(service, background, Millis{4000}) > part + 0.3);
-    CHECK(shedder.admittedPart(PoolId{"other"}, background, Millis{1000}) == 1);
+    CHECK(shedder.admittedFraction(service, background, Millis{4000}) > part + 0.3);
+    CHECK(shedder.admittedFraction(PoolId{"other"}, background, Millis{1000}) == 1);
 }
--- a/sequoiausher/coordination/gateway/requestattempts.cpp
+++ b/sequoiausher/coordination/gateway/requestattempts.cpp
@@ -44,7 +44,7 @@
     state.isRetryAllowed = this->bounds.mayRetry;
     state.canResumeAnswer = this->canResumeAnswer;
     if (decideNextStep(state, end) == NextStep::SendAgain) {
-        state.isRetryAllowed = source.findTarget(now) && (this->used == 0 || this->payForRetry(now, source));
+        state.isRetryAllowed = source.findTarget(now) && (this->used == 0 || this->takeRetryOnce(now, source));
     }
     return decideNextStep(state, end);
 }
@@ -54,19 +54,19 @@
     if (!source.findTarget(now)) {
         return LeaveDecision::NoTarget;
     }
-    this->isRetryPaid = this->payForRetry(now, source);
-    return this->isRetryPaid ? LeaveDecision::Leave : LeaveDecision::NoRetry;
+    this->hasTakenRetry = this->takeRetryOnce(now, source);
+    return this->hasTakenRetry ? LeaveDecision::Leave : LeaveDecision::NoRetry;
 }
 
-bool RequestAttempts::payForRetry(Millis now, RetrySource &source)
+bool RequestAttempts::takeRetryOnce(Millis now, RetrySource &source)
 {
-    return std::exchange(this->isRetryPaid, false) || source.takeRetry(now);
+    return std::exchange(this->hasTakenRetry, false) || source.takeRetry(now);
 }
 
 bool RequestAttempts::mayRunElsewhere() const
 {
-    const bool hasTries = this->bounds.mayRetry && this->used < this->bounds.mostTargets;
-    return hasTries && this->bounds.isIdempotent && this->canResumeAnswer;
+    const bool hasAttemptsLeft = this->bounds.mayRetry && this->used < this->bounds.mostTargets;
+    return hasAttemptsLeft && this->bounds.isIdempotent && this->canResumeAnswer;
 }
 
 const std::vector<TargetId> &RequestAttempts::tried() const
--- a/sequoiausher/coordination/gateway/requestattempts.h
+++ b/sequoiausher/coordination/gateway/requestattempts.h
@@ -90,7 +90,7 @@
     std::uint32_t targetsUsed() const;
 
 private:
-    bool payForRetry(Millis now, RetrySource &source);
+    bool takeRetryOnce(Millis now, RetrySource &source);
 
     AttemptBounds bounds;
     std::vector<TargetId> triedTargets;
@@ -98,7 +98,7 @@
     bool mayHaveRun = false;
     bool canResumeAnswer = true;
     /** The next retry has already been taken from the budget. */
-    bool isRetryPaid = false;
+    bool hasTakenRetry = false;
 };
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/gateway/requestquarantine.cpp
+++ b/sequoiausher/coordination/gateway/requestquarantine.cpp
@@ -69,7 +69,7 @@
     Millis sentAt;
     Millis at;
     /** The target has accepted a connection since. */
-    bool targetLives = false;
+    bool isTargetAlive = false;
 };
 
 } // namespace
@@ -104,7 +104,7 @@
     std::deque<std::pair<Millis, RequestFingerprint>> answerOrder;
     std::map<InstanceId, std::uint64_t> reports;
     /** Requests with new crashes that have not been decided about. */
-    std::vector<RequestFingerprint> undecided;
+    std::vector<RequestFingerprint> requestsToDecide;
 };
 
 RequestQuarantine::RequestQuarantine(const RequestQuarantineSettings &settings) : d(std::make_unique<Private>())
@@ -123,7 +123,7 @@
     this->d->losses.push_back({request, target, sentAt, now});
 }
 
-std::vector<RequestFingerprint> RequestQuarantine::targetEnded(const TargetId &target, Millis now)
+std::vector<RequestFingerprint> RequestQuarantine::recordTargetEnded(const TargetId &target, Millis now)
 {
     this->d->forgetLosses(now);
     std::vector<Loss> known;
@@ -140,14 +140,14 @@
     return this->d->decide();
 }
 
-void RequestQuarantine::targetLives(const TargetId &target)
+void RequestQuarantine::recordTargetAlive(const TargetId &target)
 {
     for (Loss &loss : this->d->losses) {
-        loss.targetLives = loss.targetLives || loss.target == target;
+        loss.isTargetAlive = loss.isTargetAlive || loss.target == target;
     }
 }
 
-std::vector<TargetId> RequestQuarantine::undecidedTargets(Millis now)
+std::vector<TargetId> RequestQuarantine::targetsToCheck(Millis now)
 {
     this->d->forgetLosses(now);
     std::vector<TargetId> targets;
@@ -178,8 +178,10 @@
     this->d->applyAnswer(request, now, now, {}, NewsScope::Own);
 }
 
-std::vector<RequestFingerprint>
-RequestQuarantine::heard(const InstanceId &peer, const std::vector<GatewayCrash> &crashes, Millis now, NewsScope scope)
+std::vector<RequestFingerprint> RequestQuarantine::mergeReport(const InstanceId &peer,
+                                                               const std::vector<GatewayCrash> &crashes,
+                                                               Millis now,
+                                                               NewsScope scope)
 {
     this->d->expire(now);
     for (const GatewayCrash &crash : crashes) {
@@ -212,7 +214,7 @@
         return;
     }
     suspect.crashes.push_back(std::move(crash));
-    this->undecided.push_back(request);
+    this->requestsToDecide.push_back(request);
     this->evictOldestSuspects();
 }
 
@@ -221,7 +223,7 @@
     // A request that crashes a target does so soon after its arrival; other requests in flight there have mostly been
     // there for longer. Among requests with equally many crashes, the one with the shortest mean time is decided first.
     std::vector<std::pair<std::pair<std::int64_t, Millis>, RequestFingerprint>> order;
-    for (const RequestFingerprint &request : std::exchange(this->undecided, {})) {
+    for (const RequestFingerprint &request : std::exchange(this->requestsToDecide, {})) {
         const auto found = this->suspects.find(request);
         if (found != this->suspects.end()) {
             const auto count = static_cast<std::int64_t>(this->countCrashes(found->second, {}));
@@ -314,8 +316,8 @@
     const auto found = this->suspects.find(request);
     Suspect suspect = found != this->suspects.end() ? found->second : Suspect();
     for (const Loss &loss : this->losses) {
-        const bool isOpen = !loss.targetLives && now - loss.at <= this->settings.maxDecisionTime;
-        if (loss.request == request && isOpen && !hasCrashOf(suspect, loss.target)) {
+        const bool isPending = !loss.isTargetAlive && now - loss.at <= this->settings.maxDetectionTime;
+        if (loss.request == request && isPending && !hasCrashOf(suspect, loss.target)) {
             suspect.crashes.push_back({loss.target, loss.sentAt, loss.at, loss.at, {}, NewsScope::Own});
         }
     }
@@ -351,20 +353,20 @@
     std::erase_if(this->losses, [this, now](const Loss &loss) { return now - loss.at > this->settings.lossTtl; });
 }
 
-std::vector<GatewayCrash> RequestQuarantine::newsFor(const InstanceId &peer, NewsScope scope, Millis now)
+std::vector<GatewayCrash> RequestQuarantine::reportFor(const InstanceId &peer, NewsScope scope, Millis now)
 {
     std::vector<std::pair<std::size_t, GatewayCrash>> news;
     const bool isFullReport = this->d->reports[peer]++ % reportsPerFullReport == 0;
-    const auto isNews = [this, &peer, scope, now](Millis learntAt, const InstanceId &from, NewsScope own) {
-        return now - learntAt <= this->d->settings.newsTtl && own <= scope && from != peer;
+    const auto isRecent = [this, &peer, scope, now](Millis learntAt, const InstanceId &from, NewsScope own) {
+        return now - learntAt <= this->d->settings.reportTtl && own <= scope && from != peer;
     };
     for (const auto &[request, suspect] : this->d->suspects) {
         const std::size_t weight = suspect.crashes.size();
-        if (suspect.answeredAt && isNews(suspect.answerLearntAt, suspect.answerFrom, suspect.answerScope)) {
+        if (suspect.answeredAt && isRecent(suspect.answerLearntAt, suspect.answerFrom, suspect.answerScope)) {
             news.push_back({weight, {request.caller, request.content, {}, now - *suspect.answeredAt, Millis{0}}});
         }
         for (const Crash &crash : suspect.crashes) {
-            if ((isFullReport && suspect.isRefused) || isNews(crash.learntAt, crash.from, crash.scope)) {
+            if ((isFullReport && suspect.isRefused) || isRecent(crash.learntAt, crash.from, crash.scope)) {
                 const Millis ranFor = crash.endedAt - crash.sentAt;
                 news.push_back({weight, {request.caller, request.content, crash.target, now - crash.endedAt, ranFor}});
             }
@@ -372,12 +374,12 @@
     }
     std::stable_sort(news.begin(), news.end(), [](const auto &a, const auto &b) { return a.first > b.first; });
     news.resize(std::min(news.size(), maxReportEntries));
-    std::vector<GatewayCrash> told;
-    told.reserve(news.size());
+    std::vector<GatewayCrash> entries;
+    entries.reserve(news.size());
     for (auto &[weight, crash] : news) {
-        told.push_back(std::move(crash));
+        entries.push_back(std::move(crash));
     }
-    return told;
+    return entries;
 }
 
 std::optional<Millis> RequestQuarantine::refusedFor(const RequestFingerprint &request, Millis now)
@@ -389,9 +391,11 @@
             return std::nullopt;
         }
         const Suspect likely = this->d->assumePendingCrashes(request, now);
-        const bool isOpen = found == this->d->suspects.end() || likely.crashes.size() > found->second.crashes.size();
-        return isOpen && this->d->causesCrashes(request, likely) ? std::optional(this->d->settings.usualDecisionTime)
-                                                                 : std::nullopt;
+        const bool hasPending
+            = found == this->d->suspects.end() || likely.crashes.size() > found->second.crashes.size();
+        return hasPending && this->d->causesCrashes(request, likely)
+            ? std::optional(this->d->settings.usualDetectionTime)
+            : std::nullopt;
     }
     if (now - found->second.seenAt > this->d->settings.suspectTtl) {
         this->d->suspects.erase(found);
--- a/sequoiausher/coordination/gateway/requestquarantine.h
+++ b/sequoiausher/coordination/gateway/requestquarantine.h
@@ -6,9 +6,9 @@
 // other.
 //
 //     quarantine.recordLostConnection(fingerprint, target, sentAt, now);
-//     quarantine.targetEnded(target, now);
+//     quarantine.recordTargetEnded(target, now);
 //     const std::optional<Millis> wait = quarantine.refusedFor(fingerprint, now);
-//     report.crashes = quarantine.newsFor(peer, NewsScope::All, now);
+//     report.crashes = quarantine.reportFor(peer, NewsScope::All, now);
 
 #include "sequoiausher/base/identifiers.h"
 #include "sequoiausher/base/millis.h"
@@ -38,9 +38,9 @@
     /** How long a lost connection is remembered. By then the list of targets has dropped a target that ended. */
     Millis lossTtl{5000};
     /** How long the target of a lost connection is presumed to have ended, unless it is known to be alive. */
-    Millis maxDecisionTime{2000};
+    Millis maxDetectionTime{2000};
     /** The time within which it is usually known whether the target of a lost connection ended. */
-    Millis usualDecisionTime{250};
+    Millis usualDetectionTime{250};
     /** A request is refused until no caller has sent it for this long. */
     Millis suspectTtl{600000};
     /** How long a complete answer is remembered. A request with a recent complete answer does not crash targets. */
@@ -49,7 +49,7 @@
     /** The most requests that are tracked. Beyond it the least recently seen is dropped, refused ones last. */
     std::size_t maxSuspects = 2048;
     /** How long an observation is repeated in reports, since reports may be lost. */
-    Millis newsTtl{2000};
+    Millis reportTtl{2000};
 };
 
 /** Tracks requests that may crash targets, and decides which are refused. Not thread-safe. */
@@ -62,22 +62,22 @@
     /** Records that the connection on which the target had the request was lost, and not closed by this gateway. */
     void recordLostConnection(const RequestFingerprint &request, const TargetId &target, Millis sentAt, Millis now);
     /** Counts the connections lost at a target that has ended. @return the requests that are refused from now on. */
-    std::vector<RequestFingerprint> targetEnded(const TargetId &target, Millis now);
+    std::vector<RequestFingerprint> recordTargetEnded(const TargetId &target, Millis now);
     /**
      * Records that the target accepts connections. Connections lost there are no evidence against their requests,
      * unless the target is found to have ended after all: a proxy in between may have accepted the connection.
      */
-    void targetLives(const TargetId &target);
+    void recordTargetAlive(const TargetId &target);
     /** Returns the targets with a recently lost connection that are not known to have ended. */
-    std::vector<TargetId> undecidedTargets(Millis now);
+    std::vector<TargetId> targetsToCheck(Millis now);
     /** Records a complete answer to the request. */
     void recordAnswer(const RequestFingerprint &request, Millis now);
 
     /** Merges a peer's report. @param scope as for PrefixDirectory. @return the requests refused from now on. */
     std::vector<RequestFingerprint>
-    heard(const InstanceId &peer, const std::vector<GatewayCrash> &crashes, Millis now, NewsScope scope);
+    mergeReport(const InstanceId &peer, const std::vector<GatewayCrash> &crashes, Millis now, NewsScope scope);
     /** Returns the report for peer: recent observations, and in every few reports all refused requests. */
-    std::vector<GatewayCrash> newsFor(const InstanceId &peer, NewsScope scope, Millis now);
+    std::vector<GatewayCrash> reportFor(const InstanceId &peer, NewsScope scope, Millis now);
 
     /**
      * Returns how long the request is refused if no caller sends it meanwhile; none where it may be sent. A request is
--- a/sequoiausher/coordination/gateway/requestquarantinetest.cpp
+++ b/sequoiausher/coordination/gateway/requestquarantinetest.cpp
@@ -24,7 +24,7 @@
 crash(RequestQuarantine &quarantine, const RequestFingerprint &request, int number, Millis at)
 {
     quarantine.recordLostConnection(request, target(number), at - runTime, at);
-    return quarantine.targetEnded(target(number), at + Millis{5});
+    return quarantine.recordTargetEnded(target(number), at + Millis{5});
 }
 
 /** Gateways that report to each other with delays, and lose some of their reports. */
@@ -83,7 +83,7 @@
                 if (!this->reportsTo(from, to)) {
                     continue;
                 }
-                auto news = this->gateways[from].newsFor(name(to), this->scopeOf(from, to), now);
+                auto news = this->gateways[from].reportFor(name(to), this->scopeOf(from, to), now);
                 if (this->between(1, 100) > lostPercent) {
                     this->under.push_back({now + Millis{this->between(1, 60)}, from, to, std::move(news)});
                 }
@@ -95,7 +95,7 @@
                 later.push_back(std::move(message));
                 continue;
             }
-            this->gateways[message.to].heard(
+            this->gateways[message.to].mergeReport(
                 name(message.from), message.news, now, this->heardAs(message.from, message.to));
         }
         this->under = std::move(later);
@@ -142,13 +142,13 @@
         CHECK_FALSE(quarantine.refusedFor(culprit, Millis{i * 1000}));
         quarantine.recordLostConnection(culprit, target(i), Millis{i * 1000}, Millis{i * 1000 + 50});
         if (i < 2) {
-            quarantine.targetEnded(target(i), Millis{i * 1000 + 60});
+            quarantine.recordTargetEnded(target(i), Millis{i * 1000 + 60});
         }
     }
     CHECK(quarantine.refusedFor(culprit, Millis{2060}) == Millis{250});
     SUBCASE("the target is alive")
     {
-        quarantine.targetLives(target(2));
+        quarantine.recordTargetAlive(target(2));
         CHECK_FALSE(quarantine.refusedFor(culprit, Millis{2070}));
     }
     SUBCASE("the state of the target stays unknown")
@@ -164,14 +164,14 @@
     {
         for (int i = 0; i < 9; ++i) {
             quarantine.recordLostConnection(culprit, target(i), Millis{i * 1000}, Millis{i * 1000 + 50});
-            quarantine.targetLives(target(i));
+            quarantine.recordTargetAlive(target(i));
         }
         for (int i = 0; i < 9; ++i) {
-            CHECK(quarantine.targetEnded(target(i), Millis{20000}).empty());
+            CHECK(quarantine.recordTargetEnded(target(i), Millis{20000}).empty());
         }
         quarantine.recordLostConnection(culprit, target(9), Millis{30000}, Millis{30000});
-        CHECK(quarantine.undecidedTargets(Millis{35000}).size() == 1);
-        CHECK(quarantine.undecidedTargets(Millis{35001}).empty());
+        CHECK(quarantine.targetsToCheck(Millis{35000}).size() == 1);
+        CHECK(quarantine.targetsToCheck(Millis{35001}).empty());
     }
     SUBCASE("a target that is found to have ended long after the connection was lost")
     {
@@ -179,7 +179,7 @@
             const Millis at{i * 10000};
             quarantine.recordLostConnection(culprit, target(i), at, at);
             quarantine.recordLostConnection(innocent, target(100 + i), at + Millis{5000}, at + Millis{5000});
-            CHECK(quarantine.targetEnded(target(i), at + Millis{5001}).empty());
+            CHECK(quarantine.recordTargetEnded(target(i), at + Millis{5001}).empty());
         }
     }
     SUBCASE("one target that had the request several times")
@@ -197,12 +197,12 @@
     for (int i = 0; i < 3; ++i) {
         const Millis at{1000 + i * 10000};
         quarantine.recordLostConnection(culprit, target(i), at - runTime, at);
-        quarantine.targetLives(target(i));
+        quarantine.recordTargetAlive(target(i));
         CHECK_FALSE(quarantine.refusedFor(culprit, at + Millis{100}));
-        CHECK(quarantine.undecidedTargets(at + Millis{100}) == std::vector{target(i)});
-        const auto refused = quarantine.targetEnded(target(i), at + Millis{3400});
+        CHECK(quarantine.targetsToCheck(at + Millis{100}) == std::vector{target(i)});
+        const auto refused = quarantine.recordTargetEnded(target(i), at + Millis{3400});
         CHECK(refused == (i < 2 ? std::vector<RequestFingerprint>() : std::vector{culprit}));
-        CHECK(quarantine.undecidedTargets(at + Millis{3400}).empty());
+        CHECK(quarantine.targetsToCheck(at + Millis{3400}).empty());
     }
 }
 
@@ -211,7 +211,7 @@
     RequestQuarantine quarantine;
     const auto lose = [&quarantine](int number, std::int64_t sentAt, std::int64_t at) {
         quarantine.recordLostConnection(culprit, target(number), Millis{sentAt}, Millis{at});
-        return quarantine.targetEnded(target(number), Millis{at + 5}).size();
+        return quarantine.recordTargetEnded(target(number), Millis{at + 5}).size();
     };
     SUBCASE("the loss of a whole rack")
     {
@@ -239,7 +239,7 @@
     }
     SUBCASE("an answer at a peer")
     {
-        quarantine.heard(
+        quarantine.mergeReport(
             {"g2"}, {{innocent.caller, innocent.content, {}, Millis{500}, Millis{0}}}, Millis{3000}, NewsScope::Own);
     }
     CHECK(quarantine.mayRetry(innocent, Millis{3000}));
@@ -256,8 +256,8 @@
     for (int i = 0; i < 3; ++i) {
         blame.push_back({innocent.caller, innocent.content, target(i), Millis{4000 - i * 1000}, runTime});
     }
-    CHECK(quarantine.heard({"g2"}, blame, Millis{4500}, NewsScope::Own).empty());
-    const std::vector<GatewayCrash> news = quarantine.newsFor({"g2"}, NewsScope::Own, Millis{4600});
+    CHECK(quarantine.mergeReport({"g2"}, blame, Millis{4500}, NewsScope::Own).empty());
+    const std::vector<GatewayCrash> news = quarantine.reportFor({"g2"}, NewsScope::Own, Millis{4600});
     REQUIRE(news.size() == 1);
     CHECK(news[0].target.value.empty());
     CHECK(news[0].age == Millis{3600});
@@ -272,7 +272,7 @@
         const Millis at{1000 + i * 1000};
         quarantine.recordLostConnection(innocent, target(i), at - Millis{700}, at);
         quarantine.recordLostConnection(culprit, target(i), at - runTime, at);
-        const auto refused = quarantine.targetEnded(target(i), at);
+        const auto refused = quarantine.recordTargetEnded(target(i), at);
         CHECK(refused == (i < 2 ? std::vector<RequestFingerprint>() : std::vector{culprit}));
     }
     CHECK_FALSE(quarantine.refusedFor(innocent, Millis{4000}));
@@ -293,7 +293,7 @@
     }
     CHECK(quarantine.refusedCount() == 1);
     CHECK(quarantine.refusedFor(culprit, Millis{9000}));
-    CHECK(quarantine.newsFor({"g2"}, NewsScope::All, Millis{9000}).size() <= 256);
+    CHECK(quarantine.reportFor({"g2"}, NewsScope::All, Millis{9000}).size() <= 256);
 }
 
 // Guards against the loss of many targets filling the reports, which would leave out a request that crashes targets.
@@ -306,7 +306,7 @@
     }
     crash(quarantine, last, 1000, Millis{1000});
     crash(quarantine, last, 1001, Millis{1200});
-    const std::vector<GatewayCrash> news = quarantine.newsFor({"g2"}, NewsScope::Own, Millis{1300});
+    const std::vector<GatewayCrash> news = quarantine.reportFor({"g2"}, NewsScope::Own, Millis{1300});
     CHECK(news.size() == 256);
     REQUIRE(news.size() > 2);
     CHECK(news[0].caller == last.caller);
@@ -317,7 +317,7 @@
 {
     RequestQuarantine quarantine;
     for (int i = 0; i < 9; ++i) {
-        quarantine.heard(
+        quarantine.mergeReport(
             {"g2"},
             {{1, 2, target(i), Millis::never(), Millis::never()}, {1, 3, target(i), Millis{-5}, Millis{-9}}},
             Millis{1000},
@@ -378,7 +378,7 @@
                     const RequestFingerprint other{2, static_cast<std::uint64_t>(fleet.between(1, innocents))};
                     RequestQuarantine &elsewhere = fleet.gateways[any()];
                     elsewhere.recordLostConnection(other, target(ended), now - Millis{fleet.between(50, 900)}, now);
-                    elsewhere.targetEnded(target(ended), now + Millis{5});
+                    elsewhere.recordTargetEnded(target(ended), now + Millis{5});
                 }
             }
             CHECK(third);
--- a/sequoiausher/coordination/gateway/watchdeadline.cpp
+++ b/sequoiausher/coordination/gateway/watchdeadline.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 /** The timeout in multiples of the time of a read. A slow read shows that the store, and so a watch, is slow. */
-constexpr std::int64_t readingTimeFactor = 2;
+constexpr std::int64_t readTimeFactor = 2;
 
 } // namespace
 
 StoreTimes limitStoreTimes(StoreTimes longest, Millis leaveBound)
 {
-    constexpr Millis readingMargin{200};
+    constexpr Millis readMargin{200};
     constexpr Millis shortestInterval{100};
     // The time that follows an abandoned watch: ticks, a connection and an answer.
     constexpr Millis nextAnswer{100};
@@ -22,7 +22,7 @@
     times.callTimeout = std::min(longest.callTimeout, leaveBound / 2);
     times.watchTime = std::min(longest.watchTime, watch * 3 / 4);
     times.watchDelay = std::min(longest.watchDelay, watch / 4);
-    times.proofInterval = std::min(longest.proofInterval, std::max(leaveBound / 2 - readingMargin, shortestInterval));
+    times.proofInterval = std::min(longest.proofInterval, std::max(leaveBound / 2 - readMargin, shortestInterval));
     times.batchDelay = std::min(longest.batchDelay, leaveBound * 3 / 40);
     times.overdueAfter = times.batchDelay + leaveBound / 16;
     times.firstPause = std::min(longest.firstPause, leaveBound / 20);
@@ -41,7 +41,7 @@
 void WatchDeadline::recordStoreRevision(Revision revision, Millis took, Millis now)
 {
     if (revision > this->reportedUpTo && !this->unreported) {
-        this->unreported = Change{revision, now, std::max(this->overdueAfter, took * readingTimeFactor)};
+        this->unreported = Change{revision, now, std::max(this->overdueAfter, took * readTimeFactor)};
     }
 }
 
--- a/sequoiausher/transport/gateway/calleranswer.cpp
+++ b/sequoiausher/transport/gateway/calleranswer.cpp
@@ -171,7 +171,7 @@
     return this->kind == RouteKind::Stream && this->answer.isEventStream && this->answer.status == statusOk;
 }
 
-bool CallerAnswer::isGivenAsItComes() const
+bool CallerAnswer::isForwardedAsItArrives() const
 {
     return this->passesThrough || this->isEventStream();
 }
--- a/sequoiausher/transport/gateway/calleranswer.h
+++ b/sequoiausher/transport/gateway/calleranswer.h
@@ -81,7 +81,7 @@
     /** The present target answers with the events of a stream. */
     bool isEventStream() const;
     /** The caller gets the answer as it comes. */
-    bool isGivenAsItComes() const;
+    bool isForwardedAsItArrives() const;
     /** The target is not read, since the caller takes less than it is given. */
     bool isReadingPaused() const;
     /** The head that came last. */
--- a/sequoiausher/transport/gateway/calleranswertest.cpp
+++ b/sequoiausher/transport/gateway/calleranswertest.cpp
@@ -141,7 +141,7 @@
     given.add("who");
     given.add("le");
     CHECK(given.caller.given.empty());
-    CHECK_FALSE(given.answer.isGivenAsItComes());
+    CHECK_FALSE(given.answer.isForwardedAsItArrives());
     given.answer.passOnHeld();
     CHECK(given.hasGiven("Content-Length: 5\r\n"));
     CHECK(given.hasGiven("\r\n\r\nwhole"));
@@ -156,7 +156,7 @@
     CHECK(given.caller.given.empty());
     given.add("b");
     CHECK(given.answer.isBegun());
-    CHECK(given.answer.isGivenAsItComes());
+    CHECK(given.answer.isForwardedAsItArrives());
     CHECK(given.hasGiven("\r\n\r\n100001\r\naaa"));
     given.caller.given.clear();
     given.add("cc");
--- a/sequoiausher/transport/gateway/callerconnection.cpp
+++ b/sequoiausher/transport/gateway/callerconnection.cpp
@@ -192,7 +192,7 @@
                            {{"connection", std::to_string(this->number)},
                             {"why", std::string(nameOf(why))},
                             {"requests", std::to_string(this->requests)},
-                            {"idle_ms", std::to_string((now - this->idle.since(now)).count)},
+                            {"idle_ms", std::to_string((now - this->idle.idleSince(now)).count)},
                             {"unread_bytes", std::to_string(this->stream->unreadBytes())},
                             {"unacknowledged_bytes", std::to_string(this->stream->unacknowledgedBytes())}});
     this->gone(*this);
@@ -249,7 +249,7 @@
 void CallerConnection::tickUnused(Millis now)
 {
     if (!this->idle.isAcknowledged()) {
-        this->idle.observe(now, this->stream->unacknowledgedBytes());
+        this->idle.recordUnacknowledged(now, this->stream->unacknowledgedBytes());
     }
     if (this->idle.isOver(now, this->context.callerLimits().idleTime)) {
         this->closeUnused(CloseReason::Idle);
--- a/sequoiausher/transport/gateway/gatewayadmission.cpp
+++ b/sequoiausher/transport/gateway/gatewayadmission.cpp
@@ -185,7 +185,7 @@
     const SheddingRank rank{this->admitted.requestClass, spent >= route.latencyAim};
     const SheddingDecision verdict
         = this->context.shedder.decideAdmission(this->admitted.service, rank, this->context.draw(), this->receivedAt);
-    this->admitted.admittedPart = verdict.admittedPart;
+    this->admitted.admittedPart = verdict.admittedFraction;
     if (verdict.isAdmitted) {
         return std::nullopt;
     }
--- a/sequoiausher/transport/gateway/gatewaycontext.cpp
+++ b/sequoiausher/transport/gateway/gatewaycontext.cpp
@@ -55,12 +55,12 @@
 void GatewayContext::targetEnded(const TargetId &target)
 {
     this->log.info(LogPart::Targets, "target ended with requests in hand", {{"target", target.value}});
-    this->requestsRefused(this->quarantine.targetEnded(target, Millis::monotonicNow()), "own");
+    this->requestsRefused(this->quarantine.recordTargetEnded(target, Millis::monotonicNow()), "own");
 }
 
 void GatewayContext::targetLives(const TargetId &target)
 {
-    this->quarantine.targetLives(target);
+    this->quarantine.recordTargetAlive(target);
 }
 
 void GatewayContext::requestsRefused(const std::vector<RequestFingerprint> &requests, const std::string &from)
--- a/sequoiausher/transport/gateway/gatewayexchange.cpp
+++ b/sequoiausher/transport/gateway/gatewayexchange.cpp
@@ -347,7 +347,7 @@
     state.isMisdirected = this->answer.targetAnswer().isMisdirected;
     state.isIdempotent = this->admitted.route->isIdempotent();
     state.isAnswerBegun = this->answer.isBegun();
-    state.isGivenAsItComes = this->answer.isGivenAsItComes();
+    state.isForwardedAsItArrives = this->answer.isForwardedAsItArrives();
     return state;
 }
 
@@ -543,7 +543,7 @@
     state.isConnected = this->call && this->call->isConnected();
     state.hasEvents = this->answer.eventCount() > 0 && this->answer.hasHead();
     state.isReadingPaused = this->answer.isReadingPaused();
-    state.isLifeOver = this->context.board.isLifeOver(this->chosen.target);
+    state.isProcessGone = this->context.board.isLifeOver(this->chosen.target);
     state.mayRunElsewhere = this->attempts.mayRunElsewhere();
     state.latencyAim = route.latencyAim;
     state.gapAim = route.gapAim;
--- a/sequoiausher/transport/gateway/gatewayknowledge.cpp
+++ b/sequoiausher/transport/gateway/gatewayknowledge.cpp
@@ -212,7 +212,7 @@
         leaving += target.isLeaving ? 1 : 0;
     }
     // A target that was dropped without a word ended, also where something in between still takes its connections.
-    for (const TargetId &lost : this->context.quarantine.undecidedTargets(now)) {
+    for (const TargetId &lost : this->context.quarantine.targetsToCheck(now)) {
         if (!this->context.board.isListed(lost)) {
             this->context.targetEnded(lost);
         }
--- a/sequoiausher/transport/gateway/gatewaypeers.cpp
+++ b/sequoiausher/transport/gateway/gatewaypeers.cpp
@@ -222,7 +222,7 @@
     report.dataCentre = this->context.settings.dataCentre;
     const bool isToHub = directory.isHub(peer);
     const NewsScope scope = !report.isHub ? NewsScope::Own : isToHub ? NewsScope::Group : NewsScope::All;
-    report.crashes = this->context.quarantine.newsFor(peer, scope, now);
+    report.crashes = this->context.quarantine.reportFor(peer, scope, now);
     report.placements = this->context.parts.newsFor(peer, scope);
     if (!report.isHub) {
         report.loads = this->context.board.ownLoads(now);
@@ -272,7 +272,7 @@
     for (const GatewayPlacement &placement : report.placements) {
         this->context.parts.heard(from, placement.part, placement.target, now, scope);
     }
-    this->context.requestsRefused(this->context.quarantine.heard(from, report.crashes, now, scope), from.value);
+    this->context.requestsRefused(this->context.quarantine.mergeReport(from, report.crashes, now, scope), from.value);
     const bool comesBefore = this->context.peers.comesBefore(from, now);
     this->context.duty.heard({report.storeAge, report.echo, report.isHub, !report.isResting, comesBefore, targets},
                              now);
