--- a/sequoiausher/coordination/gateway/attemptoutcome.h
+++ b/sequoiausher/coordination/gateway/attemptoutcome.h
@@ -17,7 +17,10 @@
 
 namespace Sequoiausher {
 
-/** What is known of a target's answer. The first four members describe the present attempt; its head may be missing. */
+/**
+ * What is known of a target's answer. The first four members describe the answer of the present attempt, whose head may
+ * not have arrived yet.
+ */
 struct AnswerState
 {
     bool hasHead = false;
@@ -34,7 +37,7 @@
     bool isForwardedAsItArrives = false;
 };
 
-/** How an attempt ended, and the mark of its target. */
+/** How an attempt ended, and how that counts for the health of its target. */
 struct AttemptOutcome
 {
     AttemptEnd end = AttemptEnd::NoAnswer;
--- a/sequoiausher/coordination/gateway/attemptoutcometest.cpp
+++ b/sequoiausher/coordination/gateway/attemptoutcometest.cpp
@@ -129,8 +129,8 @@
     }
 }
 
-// A request that counts as not run is sent again, or refused with the statement that it never runs. Both need an
-// explicit statement of the target.
+// A request that counts as not run is sent again, or refused with the statement that it was not run and never will be.
+// Both need an explicit statement of the target.
 TEST_CASE("in no state does a request count as not run without the target's statement")
 {
     forAllAnswers([](const AnswerState &state) {
@@ -143,7 +143,7 @@
     });
 }
 
-TEST_CASE("in no state does the failure of a request that must run once lead to a retry")
+TEST_CASE("in no state does the failure of a request that may run at most once lead to a retry")
 {
     forAllAnswers([](const AnswerState &state) {
         const std::optional<AttemptOutcome> whole = classifyCompleteAnswer(state);
--- a/sequoiausher/coordination/gateway/attempttimeout.cpp
+++ b/sequoiausher/coordination/gateway/attempttimeout.cpp
@@ -17,10 +17,16 @@
 constexpr double activeTargetAimFactor = 1.5;
 /** A request also stays at its target for at least this multiple of the usual time to the first part of an answer. */
 constexpr std::int64_t usualTimeFactor = 4;
-/** A stream that pauses for longer than this multiple of the gap aim of its route counts as lost. */
+/**
+ * A stream that has paused for this multiple of its route's gap aim, and for at least minGapTimeout, is resumed at
+ * another target if that is allowed.
+ */
 constexpr std::int64_t gapAimFactor = 4;
 constexpr Millis minGapTimeout{1200};
-/** What a process sent before it ended has arrived after this time, so an answer that was ready is still delivered. */
+/**
+ * A request to a target that has restarted is given up once nothing has arrived for this long. By then everything that
+ * the old process sent has arrived, so an answer that was already sent is still delivered.
+ */
 constexpr Millis restartGrace{400};
 
 Millis computeFirstAnswerTimeout(const WaitState &state)
--- a/sequoiausher/coordination/gateway/attempttimeout.h
+++ b/sequoiausher/coordination/gateway/attempttimeout.h
@@ -32,7 +32,10 @@
     bool hasEvents = false;
     /** The caller reads more slowly than the target sends, so reading from the target is paused. */
     bool isReadingPaused = false;
-    /** The target has restarted since, or another instance has its name: the process that had the request is gone. */
+    /**
+     * The process that received the request is gone: the target has restarted since, or another instance has taken its
+     * name.
+     */
     bool isProcessGone = false;
     /** The request may also run at another target, and has attempts left. */
     bool mayRunElsewhere = false;
--- a/sequoiausher/coordination/gateway/callerwaitestimator.h
+++ b/sequoiausher/coordination/gateway/callerwaitestimator.h
@@ -20,7 +20,10 @@
 class CallerWaitEstimator
 {
 public:
-    /** Records a request; returns by how much its time left is below the longest of recent requests of the route. */
+    /**
+     * Records a request. Returns how much less time it has left than the longest that a recent request of the route
+     * had.
+     */
     Millis estimateWaited(const std::string &route, Millis timeLeft, Millis now);
 
 private:
--- a/sequoiausher/coordination/gateway/connectionsharetest.cpp
+++ b/sequoiausher/coordination/gateway/connectionsharetest.cpp
@@ -29,7 +29,7 @@
     }
 }
 
-TEST_CASE("the shares add up to no more than a limit of at least one connection for each gateway")
+TEST_CASE("the shares add up to no more than the limit if it allows one connection per gateway")
 {
     constexpr std::size_t mostGateways = 40;
     constexpr std::size_t mostLimit = 400;
--- a/sequoiausher/coordination/gateway/connectiontimeouts.h
+++ b/sequoiausher/coordination/gateway/connectiontimeouts.h
@@ -4,8 +4,8 @@
 // is rejected. Uses no sockets and no clock: the connection calls this code periodically and acts on the result.
 //
 //     IdleClock idle(now, limits.idleTime);
-//     idle.recordAnswer(now, limits.idleTime);        // an answer was handed to the kernel
-//     idle.recordUnacknowledged(now, unacknowledgedBytes);         // periodically, until the caller has the answer
+//     idle.recordAnswer(now, limits.idleTime);                // an answer was handed to the kernel
+//     idle.recordUnacknowledged(now, unacknowledgedBytes);    // periodically, until the caller has the answer
 //     if (idle.isOver(now, limits.idleTime)) { ... }
 //
 // Callers count their idle time from when they received an answer, and by the limit that was announced to them. A
@@ -41,8 +41,8 @@
     bool isAcknowledged() const;
 
     /**
-     * Returns since when the connection is idle. An answer without progress for one limit counts as acknowledged, so
-     * that a caller that vanished without closing does not keep its connection open for ever. A caller that reads
+     * Returns since when the connection has been idle. An answer without progress for one limit counts as acknowledged,
+     * so that a caller that vanished without closing does not keep its connection open for ever. A caller that reads
      * slowly still gets the whole answer.
      */
     Millis idleSince(Millis now) const;
--- a/sequoiausher/coordination/gateway/connectiontimeoutstest.cpp
+++ b/sequoiausher/coordination/gateway/connectiontimeoutstest.cpp
@@ -29,7 +29,7 @@
     idle.recordUnacknowledged(Millis{6000}, 0);
     CHECK(idle.isAcknowledged());
     CHECK(idle.idleSince(Millis{9000}) == Millis{6000});
-    SUBCASE("the first observation counts")
+    SUBCASE("the first observation of a fully acknowledged answer counts")
     {
         idle.recordUnacknowledged(Millis{7000}, 0);
         CHECK(idle.idleSince(Millis{9000}) == Millis{6000});
--- a/sequoiausher/coordination/gateway/freshness.cpp
+++ b/sequoiausher/coordination/gateway/freshness.cpp
@@ -7,7 +7,10 @@
 
 namespace {
 
-/** A version that is followed by this many newer ones is in force nowhere: at most one is published every 50 ms. */
+/**
+ * A version followed by this many newer ones is no longer in force anywhere: versions are published at least 50 ms
+ * apart, so these take at least 1.6 s.
+ */
 constexpr std::size_t maxTrackedVersions = 32;
 
 } // namespace
--- a/sequoiausher/coordination/gateway/freshnesstest.cpp
+++ b/sequoiausher/coordination/gateway/freshnesstest.cpp
@@ -45,9 +45,10 @@
     CHECK(freshness.age(59, Millis{9001}) == Millis{1});
 }
 
-// Guards against gateways that refuse keyed requests for some 40 ms after each new version. A version arrives from a
-// peer or a watch, and its own proof needs a further read of the store or a further report of a peer. The refusals
-// happen if only proofs of exactly the version in force count.
+// Guards against gateways that all refuse keyed requests for some 40 ms after each version of a rapid series: 226
+// refusals in three seconds, while other gateways were being killed. A version arrives from a peer or a watch, and its
+// own proof needs a further read of the store or a further report of a peer. The refusals happen if only proofs of
+// exactly the version in force count.
 TEST_CASE("a proof of an older version holds for a newer one")
 {
     Freshness freshness;
--- a/sequoiausher/coordination/gateway/loadshedder.cpp
+++ b/sequoiausher/coordination/gateway/loadshedder.cpp
@@ -9,9 +9,9 @@
 
 /**
  * The fraction of the aim that answers should take under overload. The rest is left for answers that take longer than
- * the median. With four fifths of the aim, fewer answers are in time when a service is overloaded by half: 0.57 instead
- * of 0.63 for 840 requests a second with room for 560. With half of the aim, as many are in time there, but fewer with
- * two targets left for 314 requests a second: 0.94 instead of 0.96.
+ * the median. Aim times this fraction is called the aimed time below. In a simulation, 840 requests a second for a
+ * service that can serve 560 give 0.63 of the answers in time with this fraction and with half of the aim, and 0.57
+ * with four fifths. With two targets left for 314 requests a second, this fraction gives 0.96 and half of the aim 0.94.
  */
 constexpr double aimFraction = 0.6;
 /**
@@ -38,8 +38,8 @@
 constexpr double maxPressure = urgentOnset + 1;
 /**
  * The pressure on a request that is late already is multiplied by this, so that its place serves a caller that can
- * still be answered in time. Without it, 0.52 instead of 0.63 of the answers are in time for 840 requests a second with
- * room for 560.
+ * still be answered in time. In the same simulation, 840 requests a second for a service that can serve 560 give 0.52
+ * of the answers in time without it and 0.63 with it.
  */
 constexpr double lateWeight = 3;
 
--- a/sequoiausher/coordination/gateway/requestattempts.h
+++ b/sequoiausher/coordination/gateway/requestattempts.h
@@ -48,7 +48,7 @@
     Leave,
     /** No other target is available. */
     NoTarget,
-    /** The budget has no retry left, so the request stays at its present target. */
+    /** The budget has no retry left, so the present target is the best chance of an answer. */
     NoRetry,
 };
 
--- a/sequoiausher/coordination/gateway/requestattemptstest.cpp
+++ b/sequoiausher/coordination/gateway/requestattemptstest.cpp
@@ -246,7 +246,7 @@
     CHECK(source.retriesAsked == 2);
 }
 
-TEST_CASE("a request that must run once may not run elsewhere")
+TEST_CASE("a request that may run at most once may not run elsewhere")
 {
     RequestAttempts attempts({false, 2, true, later});
     attempts.recordSent();
--- a/sequoiausher/coordination/gateway/requestfingerprint.h
+++ b/sequoiausher/coordination/gateway/requestfingerprint.h
@@ -14,7 +14,10 @@
 
 namespace Sequoiausher {
 
-/** The organisation is hashed separately, so that none can forge the fingerprint of another organisation's request. */
+/**
+ * Identifies a request. The organisation has its own hash, so that no organisation can craft a request with the
+ * fingerprint of another's.
+ */
 struct RequestFingerprint
 {
     std::uint64_t caller = 0;
--- a/sequoiausher/coordination/gateway/requestquarantine.cpp
+++ b/sequoiausher/coordination/gateway/requestquarantine.cpp
@@ -86,7 +86,10 @@
     bool causesCrashes(const RequestFingerprint &request, const Suspect &suspect) const;
     /** Stops refusing requests with fewer crashes, all of them at targets that also had the culprit in flight. */
     void releaseCoincident(const RequestFingerprint &request, const Suspect &culprit);
-    /** Counts the crashes of the suspect; given its fingerprint, only those that no other refused request explains. */
+    /**
+     * Counts the crashes of the suspect, simultaneous ones once. With its fingerprint, leaves out crashes of targets
+     * that also had another refused request in flight.
+     */
     std::size_t countCrashes(const Suspect &suspect, const std::optional<RequestFingerprint> &request) const;
     bool isExplained(const RequestFingerprint &request, const TargetId &target) const;
     /** Returns the suspect as it would be if all its targets whose state is not known yet had ended. */
@@ -94,7 +97,7 @@
     std::optional<Millis> answeredAt(const RequestFingerprint &request, Millis now) const;
     void evictOldestSuspects();
     void expire(Millis now);
-    /** Drops lost connections that are too old for the list of targets to show whether their target ended. */
+    /** Drops losses older than lossTtl. By then the list of targets would have dropped a target that ended. */
     void forgetLosses(Millis now);
 
     RequestQuarantineSettings settings;
@@ -103,7 +106,7 @@
     std::map<RequestFingerprint, Millis> answers;
     std::deque<std::pair<Millis, RequestFingerprint>> answerOrder;
     std::map<InstanceId, std::uint64_t> reports;
-    /** Requests with new crashes that have not been decided about. */
+    /** Requests with new crashes that decide() has not handled yet. */
     std::vector<RequestFingerprint> requestsToDecide;
 };
 
@@ -205,7 +208,8 @@
     Suspect &suspect = this->suspects[request];
     const std::optional<Millis> own = this->answeredAt(request, now);
     if (own && (!suspect.answeredAt || *suspect.answeredAt < *own)) {
-        // A peer that reports a crash of this request has not seen this answer.
+        // A peer that reports a crash from before this answer has not learnt of the answer. Dating it as learnt now
+        // puts it into the next reports.
         suspect.answeredAt = own;
         suspect.answerLearntAt = now;
     }
--- a/sequoiausher/coordination/gateway/requestquarantine.h
+++ b/sequoiausher/coordination/gateway/requestquarantine.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// Refuses requests that crash targets: several targets ended one after the other while they had the request, so it is
-// sent to no further target. Each gateway counts its own observations and those that its peers report. The result does
-// not depend on the order of the reports or on repeats, so all gateways reach the same decision without asking each
-// other.
+// Refuses requests that crash targets. If several targets end one after the other while they have the same request in
+// flight, the request is sent to no further target. Each gateway counts its own observations and those that its peers
+// report. The result does not depend on the order of the reports or on repeats, so all gateways reach the same decision
+// without asking each other.
 //
 //     quarantine.recordLostConnection(fingerprint, target, sentAt, now);
 //     quarantine.recordTargetEnded(target, now);
@@ -76,7 +76,7 @@
     /** Merges a peer's report. @param scope as for PrefixDirectory. @return the requests refused from now on. */
     std::vector<RequestFingerprint>
     mergeReport(const InstanceId &peer, const std::vector<GatewayCrash> &crashes, Millis now, NewsScope scope);
-    /** Returns the report for peer: recent observations, and in every few reports all refused requests. */
+    /** Returns the report for peer: recent observations and, in every fourth report, all refused requests. */
     std::vector<GatewayCrash> reportFor(const InstanceId &peer, NewsScope scope, Millis now);
 
     /**
@@ -85,8 +85,8 @@
      */
     std::optional<Millis> refusedFor(const RequestFingerprint &request, Millis now);
     /**
-     * Whether a gateway may retry the request at a further target on its own. Such retries stop one target before
-     * repeats by a caller are refused, and count the last target before it is known whether it ended.
+     * Whether a gateway may retry the request at a further target on its own. Its retries stop at one crash fewer than
+     * crashThreshold. A target whose connection was just lost counts as ended unless it is known to be alive.
      */
     bool mayRetry(const RequestFingerprint &request, Millis now) const;
     std::size_t refusedCount() const;
--- a/sequoiausher/coordination/gateway/requestquarantinetest.cpp
+++ b/sequoiausher/coordination/gateway/requestquarantinetest.cpp
@@ -119,7 +119,7 @@
 
 } // namespace
 
-TEST_CASE("a request is refused once three targets have ended with it, until it has not been sent for the whole period")
+TEST_CASE("a request is refused once three targets have ended with it, until no caller has sent it for ten minutes")
 {
     RequestQuarantine quarantine;
     CHECK(crash(quarantine, culprit, 1, Millis{1000}).empty());
--- a/sequoiausher/coordination/gateway/retrybudgetshare.cpp
+++ b/sequoiausher/coordination/gateway/retrybudgetshare.cpp
@@ -9,7 +9,10 @@
 
 namespace {
 
-/** A window slides in this many steps. Retries are kept for one part longer, so that no span is undercounted. */
+/**
+ * A window is counted in this many parts. Requests are summed over one part less than a window and retries over one
+ * part more, so that the bound holds for a window that starts in the middle of a part.
+ */
 constexpr std::int64_t partsPerWindow = 20;
 /**
  * The fraction of the ratio that is used. A tenth is kept in reserve because requests arrive at a target some
@@ -37,7 +40,7 @@
         this->total += 1;
     }
 
-    /** Returns the count of the last span parts up to number, and drops older ones. */
+    /** Returns the count over the span newest parts, of which number is the last; drops older parts. */
     std::uint32_t sumRecent(std::int64_t number, std::int64_t span)
     {
         while (!this->held.empty() && this->held.front().number <= number - span) {
--- a/sequoiausher/coordination/gateway/retrybudgetshare.h
+++ b/sequoiausher/coordination/gateway/retrybudgetshare.h
@@ -36,7 +36,10 @@
     void setSettings(const RetryBudgetShareSettings &settings);
     /** Counts a caller's request to service. */
     void countRequest(const PoolId &service, Millis now);
-    /** Whether one more retry may be sent; if so, it is counted. @param gateways the number that share the slack. */
+    /**
+     * Whether one more retry may be sent; if so, it is counted.
+     * @param gateways number of gateways that share the slack.
+     */
     bool tryRetry(const PoolId &service, std::size_t gateways, Millis now);
 
 private:
--- a/sequoiausher/coordination/gateway/retrydecision.h
+++ b/sequoiausher/coordination/gateway/retrydecision.h
@@ -21,7 +21,10 @@
     NotSent,
     /** The target stated that it did not run the request. */
     NotRun,
-    /** The connection or the target was lost before an answer, or the answer was malformed or another request's. */
+    /**
+     * The connection or the target was lost before an answer, or the answer was malformed, belonged to another request,
+     * or was an unsigned success.
+     */
     NoAnswer,
     /** The wait for an answer timed out, and another target is likely to answer sooner. */
     Silent,
@@ -60,7 +63,10 @@
     Millis timeLeft;
     /** No retry is sent with less time left, since another target could not answer in it. */
     Millis minRetryTime{30};
-    /** Another target is available, and the retry budget allows a retry. */
+    /**
+     * The rule of the request allows a retry, another target is available, and the retry budget has a retry left. No
+     * budget is needed while nothing has been sent to any target.
+     */
     bool isRetryAllowed = false;
     /**
      * Another target can resume an answer that the caller has in part, as is possible for a stream of events. Any other
--- a/sequoiausher/coordination/gateway/retrydecisiontest.cpp
+++ b/sequoiausher/coordination/gateway/retrydecisiontest.cpp
@@ -99,7 +99,7 @@
 
 // The at-most-once guarantee, checked over all states: a request that is not idempotent and may have run is neither
 // sent again nor reported as not run.
-TEST_CASE("in no state is a request that may run only once sent again after it may have run")
+TEST_CASE("in no state is a request that may run at most once sent again after it may have run")
 {
     for (const auto &end : nameTable<AttemptEnd>) {
         for (int bits = 0; bits < 16; ++bits) {
--- a/sequoiausher/coordination/gateway/watchdeadline.cpp
+++ b/sequoiausher/coordination/gateway/watchdeadline.cpp
@@ -6,7 +6,10 @@
 
 namespace {
 
-/** The timeout in multiples of the time of a read. A slow read shows that the store, and so a watch, is slow. */
+/**
+ * A watch gets at least this multiple of the time that the read took: after a slow read, the watch is probably slow
+ * too.
+ */
 constexpr std::int64_t readTimeFactor = 2;
 
 } // namespace
@@ -15,7 +18,7 @@
 {
     constexpr Millis readMargin{200};
     constexpr Millis shortestInterval{100};
-    // The time that follows an abandoned watch: ticks, a connection and an answer.
+    // The time from abandoning a watch to the answer of the next call: timer ticks, a new connection and the answer.
     constexpr Millis nextAnswer{100};
     const Millis watch = leaveBound - nextAnswer;
     StoreTimes times = longest;
--- a/sequoiausher/coordination/gateway/watchdeadline.h
+++ b/sequoiausher/coordination/gateway/watchdeadline.h
@@ -28,7 +28,7 @@
     Millis watchTime{1400};
     /** How long the answer of a watch may take beyond watchTime. */
     Millis watchDelay{500};
-    /** The age of the proof of the configuration at which the configuration is read again. */
+    /** The configuration is read again once its proof (see Freshness) is this old. */
     Millis proofInterval{800};
     /** The delay of the next watch after an answer with a change, since changes come in series. */
     Millis batchDelay{150};
--- a/sequoiausher/coordination/gateway/watchdeadlinetest.cpp
+++ b/sequoiausher/coordination/gateway/watchdeadlinetest.cpp
@@ -33,8 +33,9 @@
         this->deadline.recordReportedUpTo(1);
     }
 
-    /** Returns how long after the change the gateway learns of it. The watch starts at 0 and the change follows at
-     * once. */
+    /**
+     * Returns how long after the change the gateway learns of it. The watch starts at 0 and the change follows at once.
+     */
     Millis findNotificationTime()
     {
         for (Millis now{0}; now < Millis{20000}; now = now + tick) {
