--- /dev/null
+++ b/sequoiausher/coordination/gateway/attemptoutcome.cpp
@@ -0,0 +1,72 @@
+#include "sequoiausher/coordination/gateway/attemptoutcome.h"
+
+namespace Sequoiausher {
+
+namespace {
+
+constexpr int statusRequestTimeout = 408;
+constexpr int statusMisdirected = 421;
+constexpr int statusTooManyRequests = 429;
+constexpr int firstServerError = 500;
+constexpr int statusUnavailable = 503;
+
+bool isDeclaredNotRun(const AnswerState &state)
+{
+    return state.hasHead && (state.didNotRun || state.isMisdirected);
+}
+
+AttemptOutcome notRun(const AnswerState &state)
+{
+    return {AttemptEnd::NotRun, state.isMisdirected ? AttemptMark::Lost : AttemptMark::Full};
+}
+
+} // namespace
+
+std::optional<AttemptOutcome> classifyCompleteAnswer(const AnswerState &state)
+{
+    if (isDeclaredNotRun(state)) {
+        return notRun(state);
+    }
+    const AttemptOutcome failed{AttemptEnd::Failed, AttemptMark::Failed};
+    if (state.isAnswerBegun) {
+        // An answer that is not forwarded as it arrives cannot continue the stream that the caller has in part.
+        return state.isForwardedAsItArrives ? std::nullopt : std::optional(failed);
+    }
+    return state.status >= firstServerError && state.isIdempotent ? std::optional(failed) : std::nullopt;
+}
+
+AttemptOutcome classifyLostAnswer(const AnswerState &state, AttemptEnd how)
+{
+    return isDeclaredNotRun(state) ? notRun(state) : AttemptOutcome{how, AttemptMark::Lost};
+}
+
+std::optional<AttemptOutcome> classifyAbandonedWait(WaitDecision decision, bool hasHead)
+{
+    switch (decision) {
+    case WaitDecision::DeadlineExceeded:
+        return AttemptOutcome{AttemptEnd::DeadlineExceeded, hasHead ? AttemptMark::Neutral : AttemptMark::Lost};
+    case WaitDecision::NoConnection:
+        return AttemptOutcome{AttemptEnd::NotSent, AttemptMark::Lost};
+    case WaitDecision::Lost:
+        return AttemptOutcome{hasHead ? AttemptEnd::Broken : AttemptEnd::NoAnswer, AttemptMark::Neutral};
+    case WaitDecision::RetryElsewhere:
+        return AttemptOutcome{AttemptEnd::Silent, AttemptMark::Lost};
+    case WaitDecision::KeepWaiting:
+        break;
+    }
+    return std::nullopt;
+}
+
+AttemptMark markForStatus(int status)
+{
+    return status >= firstServerError ? AttemptMark::Failed : AttemptMark::Answered;
+}
+
+bool falselyImpliesNotRun(int status, bool didNotRun)
+{
+    const bool impliesNotRun = status == statusTooManyRequests || status == statusUnavailable
+        || status == statusRequestTimeout || status == statusMisdirected;
+    return impliesNotRun && !didNotRun;
+}
+
+} // namespace Sequoiausher
--- a/sequoiausher/coordination/gateway/connectionshare.cpp
+++ b/sequoiausher/coordination/gateway/connectionshare.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-/** A tenth is left for gateways that are not known yet: beyond the limit a target resets connections. */
+/** A tenth is reserved for gateways that are not known yet, since a target resets connections beyond its limit. */
 constexpr std::size_t sharedTenths = 9;
 constexpr std::size_t tenths = 10;
 
 } // namespace
 
-std::size_t connectionShare(std::size_t limit, std::size_t gateways)
+std::size_t computeConnectionShare(std::size_t limit, std::size_t gateways)
 {
     if (limit == 0) {
         return 0;
--- a/sequoiausher/coordination/gateway/connectionsharetest.cpp
+++ b/sequoiausher/coordination/gateway/connectionsharetest.cpp
@@ -6,7 +6,7 @@
 
 using namespace Sequoiausher;
 
-TEST_CASE("a gateway's part of a target's connections")
+TEST_CASE("a gateway's share of a target's connection limit")
 {
     struct Case
     {
@@ -17,19 +17,19 @@
     };
     const std::vector<Case> cases{
         {"no limit", 0, 7, 0},
-        {"alone", 100, 1, 90},
+        {"one gateway", 100, 1, 90},
         {"no gateway is known yet, not even this one", 100, 0, 90},
-        {"seven share", 100, 7, 12},
+        {"seven gateways", 100, 7, 12},
         {"more gateways than connections", 4, 7, 1},
         {"one connection", 1, 1, 1},
     };
     for (const Case &given : cases) {
         CAPTURE(given.what);
-        CHECK(connectionShare(given.limit, given.gateways) == given.share);
+        CHECK(computeConnectionShare(given.limit, given.gateways) == given.share);
     }
 }
 
-TEST_CASE("all shares together stay below the limit, where there is one for each")
+TEST_CASE("the shares add up to no more than the limit if it allows one connection per gateway")
 {
     constexpr std::size_t mostGateways = 40;
     constexpr std::size_t mostLimit = 400;
@@ -37,8 +37,8 @@
         for (std::size_t limit = gateways; limit <= mostLimit; ++limit) {
             CAPTURE(gateways);
             CAPTURE(limit);
-            CHECK(connectionShare(limit, gateways) >= 1);
-            CHECK(connectionShare(limit, gateways) * gateways <= limit);
+            CHECK(computeConnectionShare(limit, gateways) >= 1);
+            CHECK(computeConnectionShare(limit, gateways) * gateways <= limit);
         }
     }
 }
--- a/sequoiausher/coordination/gateway/requestfingerprint.h
+++ b/sequoiausher/coordination/gateway/requestfingerprint.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// By what two requests count as the same one: their caller's organisation, their path with its query, and their body.
-// Attempt ids and other headers differ each time that a caller asks again.
+// Identifies repeats of a request: two requests are the same if the organisation of their caller, their path with its
+// query and their body are equal. Attempt ids and other headers differ each time that a caller retries.
 //
-//     const RequestFingerprint fingerprint = fingerprintOf(organisation, head.target, body);
+//     const RequestFingerprint fingerprint = computeFingerprint(organisation, head.target, body);
 
 #include "sequoiausher/base/identifiers.h"
 
@@ -14,7 +14,10 @@
 
 namespace Sequoiausher {
 
-/** The organisation stands apart, so that no organisation can make a request that is taken for another's. */
+/**
+ * Identifies a request. The organisation has its own hash, so that no organisation can craft a request with the
+ * fingerprint of another's.
+ */
 struct RequestFingerprint
 {
     std::uint64_t caller = 0;
@@ -23,10 +26,10 @@
     auto operator<=>(const RequestFingerprint &) const = default;
 };
 
-/** @param caller empty where the route needs no key. */
-RequestFingerprint fingerprintOf(const OrganisationId &caller, std::string_view path, std::string_view body);
+/** Computes the fingerprint of a request. @param caller empty where the route needs no key. */
+RequestFingerprint computeFingerprint(const OrganisationId &caller, std::string_view path, std::string_view body);
 
-/** For log lines. */
+/** Formats the fingerprint for log lines. */
 std::string toText(const RequestFingerprint &fingerprint);
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/gateway/requestquarantine.cpp
+++ b/sequoiausher/coordination/gateway/requestquarantine.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-/** All that is refused is told to a peer in every so many reports, so that one that starts anew hears of it. */
-constexpr std::uint64_t retellEvery = 4;
-/** The most entries in one report: requests under which most targets ended go first. */
-constexpr std::size_t mostNews = 256;
+/** One in this many reports to a peer lists all refused requests, so that a restarted peer learns of them. */
+constexpr std::uint64_t reportsPerFullReport = 4;
+/** The most entries in one report; requests with the most crashes go first. */
+constexpr std::size_t maxReportEntries = 256;
 
-/** A target that ended while it had the request. */
+/** A target that ended while the request was in flight there. */
 struct Crash
 {
     TargetId target;
@@ -29,7 +29,7 @@
 {
     std::vector<Crash> crashes;
     Millis seenAt;
-    /** What ended before the last whole answer is not the request's doing. */
+    /** The last complete answer. Targets that ended before it were not crashed by the request. */
     std::optional<Millis> answeredAt;
     Millis answerLearntAt;
     InstanceId answerFrom;
@@ -37,23 +37,23 @@
     bool isRefused = false;
 };
 
-bool hasEnded(const Suspect &suspect, const TargetId &target)
+bool hasCrashOf(const Suspect &suspect, const TargetId &target)
 {
     return std::any_of(suspect.crashes.begin(), suspect.crashes.end(), [&target](const Crash &crash) {
         return crash.target == target;
     });
 }
 
-/** Whether all targets that ended under the suspect ended under the other one as well. */
-bool wasBeside(const Suspect &suspect, const Suspect &other)
+/** Whether all targets that ended with the suspect in flight also had the other request in flight. */
+bool isCoveredBy(const Suspect &suspect, const Suspect &other)
 {
     return std::all_of(suspect.crashes.begin(), suspect.crashes.end(), [&other](const Crash &crash) {
-        return hasEnded(other, crash.target);
+        return hasCrashOf(other, crash.target);
     });
 }
 
-/** How long targets had had the request when they ended. */
-Millis meanTime(const std::vector<Crash> &crashes)
+/** Returns the mean time from when targets received the request until they ended. */
+Millis computeMeanRunTime(const std::vector<Crash> &crashes)
 {
     Millis sum;
     for (const Crash &crash : crashes) {
@@ -68,8 +68,8 @@
     TargetId target;
     Millis sentAt;
     Millis at;
-    /** The target has taken a connection since. */
-    bool targetLives = false;
+    /** The target has accepted a connection since. */
+    bool isTargetAlive = false;
 };
 
 } // namespace
@@ -79,22 +79,25 @@
 public:
     using Suspects = std::map<RequestFingerprint, Suspect>;
 
-    void blame(const RequestFingerprint &request, Crash crash, Millis now);
-    /** Decides on those that were blamed since. @return the ones that are refused from now on. */
+    void addCrash(const RequestFingerprint &request, Crash crash, Millis now);
+    /** Decides about the requests with new crashes. @return the requests that are refused from now on. */
     std::vector<RequestFingerprint> decide();
-    void acquit(const RequestFingerprint &request, Millis at, Millis now, const InstanceId &from, NewsScope scope);
-    bool isCulprit(const RequestFingerprint &request, const Suspect &suspect) const;
-    /** Lets those go that were refused for targets which ended under this one, and fewer. */
-    void releaseBeside(const RequestFingerprint &request, const Suspect &culprit);
-    /** The losses of the suspect; given its fingerprint, only those that no other refused request explains. */
-    std::size_t countOf(const Suspect &suspect, const std::optional<RequestFingerprint> &request) const;
+    void applyAnswer(const RequestFingerprint &request, Millis at, Millis now, const InstanceId &from, NewsScope scope);
+    bool causesCrashes(const RequestFingerprint &request, const Suspect &suspect) const;
+    /** Stops refusing requests with fewer crashes, all of them at targets that also had the culprit in flight. */
+    void releaseCoincident(const RequestFingerprint &request, const Suspect &culprit);
+    /**
+     * Counts the crashes of the suspect, simultaneous ones once. With its fingerprint, leaves out crashes of targets
+     * that also had another refused request in flight.
+     */
+    std::size_t countCrashes(const Suspect &suspect, const std::optional<RequestFingerprint> &request) const;
     bool isExplained(const RequestFingerprint &request, const TargetId &target) const;
-    /** What is known of the request, if all targets ended whose fate is not known yet. */
-    Suspect likely(const RequestFingerprint &request, Millis now) const;
+    /** Returns the suspect as it would be if all its targets whose state is not known yet had ended. */
+    Suspect assumePendingCrashes(const RequestFingerprint &request, Millis now) const;
     std::optional<Millis> answeredAt(const RequestFingerprint &request, Millis now) const;
-    void makeRoom();
+    void evictOldestSuspects();
     void expire(Millis now);
-    /** Of those that the list of targets cannot decide any more. */
+    /** Drops losses older than lossTtl. By then the list of targets would have dropped a target that ended. */
     void forgetLosses(Millis now);
 
     RequestQuarantineSettings settings;
@@ -103,8 +106,8 @@
     std::map<RequestFingerprint, Millis> answers;
     std::deque<std::pair<Millis, RequestFingerprint>> answerOrder;
     std::map<InstanceId, std::uint64_t> reports;
-    /** Blamed, and not yet decided on. */
-    std::vector<RequestFingerprint> undecided;
+    /** Requests with new crashes that decide() has not handled yet. */
+    std::vector<RequestFingerprint> requestsToDecide;
 };
 
 RequestQuarantine::RequestQuarantine(const RequestQuarantineSettings &settings) : d(std::make_unique<Private>())
@@ -114,13 +117,16 @@
 
 RequestQuarantine::~RequestQuarantine() = default;
 
-void RequestQuarantine::lost(const RequestFingerprint &request, const TargetId &target, Millis sentAt, Millis now)
+void RequestQuarantine::recordLostConnection(const RequestFingerprint &request,
+                                             const TargetId &target,
+                                             Millis sentAt,
+                                             Millis now)
 {
     this->d->forgetLosses(now);
     this->d->losses.push_back({request, target, sentAt, now});
 }
 
-std::vector<RequestFingerprint> RequestQuarantine::targetEnded(const TargetId &target, Millis now)
+std::vector<RequestFingerprint> RequestQuarantine::recordTargetEnded(const TargetId &target, Millis now)
 {
     this->d->forgetLosses(now);
     std::vector<Loss> known;
@@ -132,19 +138,19 @@
     });
     this->d->expire(now);
     for (const Loss &loss : known) {
-        this->d->blame(loss.request, {target, loss.sentAt, loss.at, now, {}, NewsScope::Own}, now);
+        this->d->addCrash(loss.request, {target, loss.sentAt, loss.at, now, {}, NewsScope::Own}, now);
     }
     return this->d->decide();
 }
 
-void RequestQuarantine::targetLives(const TargetId &target)
+void RequestQuarantine::recordTargetAlive(const TargetId &target)
 {
     for (Loss &loss : this->d->losses) {
-        loss.targetLives = loss.targetLives || loss.target == target;
+        loss.isTargetAlive = loss.isTargetAlive || loss.target == target;
     }
 }
 
-std::vector<TargetId> RequestQuarantine::undecidedTargets(Millis now)
+std::vector<TargetId> RequestQuarantine::targetsToCheck(Millis now)
 {
     this->d->forgetLosses(now);
     std::vector<TargetId> targets;
@@ -156,13 +162,13 @@
     return targets;
 }
 
-void RequestQuarantine::answered(const RequestFingerprint &request, Millis now)
+void RequestQuarantine::recordAnswer(const RequestFingerprint &request, Millis now)
 {
     this->d->answers[request] = now;
     this->d->answerOrder.emplace_back(now, request);
     const auto isOver = [this, now](const auto &oldest) {
-        return this->d->answerOrder.size() > this->d->settings.mostAnswers
-            || now - oldest.first > this->d->settings.answerLife;
+        return this->d->answerOrder.size() > this->d->settings.maxAnswers
+            || now - oldest.first > this->d->settings.answerTtl;
     };
     while (isOver(this->d->answerOrder.front())) {
         const auto &[at, old] = this->d->answerOrder.front();
@@ -172,11 +178,13 @@
         }
         this->d->answerOrder.pop_front();
     }
-    this->d->acquit(request, now, now, {}, NewsScope::Own);
+    this->d->applyAnswer(request, now, now, {}, NewsScope::Own);
 }
 
-std::vector<RequestFingerprint>
-RequestQuarantine::heard(const InstanceId &peer, const std::vector<GatewayCrash> &crashes, Millis now, NewsScope scope)
+std::vector<RequestFingerprint> RequestQuarantine::mergeReport(const InstanceId &peer,
+                                                               const std::vector<GatewayCrash> &crashes,
+                                                               Millis now,
+                                                               NewsScope scope)
 {
     this->d->expire(now);
     for (const GatewayCrash &crash : crashes) {
@@ -184,88 +192,89 @@
         if (crash.age < Millis{0} || crash.ranFor < Millis{0}) {
             continue;
         }
-        const Millis at = now - std::min(crash.age, this->d->settings.life);
+        const Millis at = now - std::min(crash.age, this->d->settings.suspectTtl);
         if (crash.target.value.empty()) {
-            this->d->acquit(request, at, now, peer, scope);
+            this->d->applyAnswer(request, at, now, peer, scope);
         } else {
-            const Millis sentAt = at - std::min(crash.ranFor, this->d->settings.life);
-            this->d->blame(request, {crash.target, sentAt, at, now, peer, scope}, now);
+            const Millis sentAt = at - std::min(crash.ranFor, this->d->settings.suspectTtl);
+            this->d->addCrash(request, {crash.target, sentAt, at, now, peer, scope}, now);
         }
     }
     return this->d->decide();
 }
 
-void RequestQuarantine::Private::blame(const RequestFingerprint &request, Crash crash, Millis now)
+void RequestQuarantine::Private::addCrash(const RequestFingerprint &request, Crash crash, Millis now)
 {
     Suspect &suspect = this->suspects[request];
     const std::optional<Millis> own = this->answeredAt(request, now);
     if (own && (!suspect.answeredAt || *suspect.answeredAt < *own)) {
-        // A peer that blames it has not seen this answer.
+        // A peer that reports a crash from before this answer has not learnt of the answer. Dating it as learnt now
+        // puts it into the next reports.
         suspect.answeredAt = own;
         suspect.answerLearntAt = now;
     }
     suspect.seenAt = std::max(suspect.seenAt, crash.endedAt);
-    if (hasEnded(suspect, crash.target) || (suspect.answeredAt && crash.endedAt <= *suspect.answeredAt)) {
+    if (hasCrashOf(suspect, crash.target) || (suspect.answeredAt && crash.endedAt <= *suspect.answeredAt)) {
         return;
     }
     suspect.crashes.push_back(std::move(crash));
-    this->undecided.push_back(request);
-    this->makeRoom();
+    this->requestsToDecide.push_back(request);
+    this->evictOldestSuspects();
 }
 
 std::vector<RequestFingerprint> RequestQuarantine::Private::decide()
 {
-    // What crashes a target does so soon after it came; what was merely there had mostly come before. So of requests
-    // with as many targets the quickest is judged first.
+    // A request that crashes a target does so soon after its arrival; other requests in flight there have mostly been
+    // there for longer. Among requests with equally many crashes, the one with the shortest mean time is decided first.
     std::vector<std::pair<std::pair<std::int64_t, Millis>, RequestFingerprint>> order;
-    for (const RequestFingerprint &request : std::exchange(this->undecided, {})) {
+    for (const RequestFingerprint &request : std::exchange(this->requestsToDecide, {})) {
         const auto found = this->suspects.find(request);
         if (found != this->suspects.end()) {
-            const auto count = static_cast<std::int64_t>(this->countOf(found->second, {}));
-            order.push_back({{-count, meanTime(found->second.crashes)}, request});
+            const auto count = static_cast<std::int64_t>(this->countCrashes(found->second, {}));
+            order.push_back({{-count, computeMeanRunTime(found->second.crashes)}, request});
         }
     }
     std::sort(order.begin(), order.end());
     std::vector<RequestFingerprint> refused;
     for (const auto &[rank, request] : order) {
         Suspect &suspect = this->suspects[request];
-        if (!suspect.isRefused && this->isCulprit(request, suspect)) {
+        if (!suspect.isRefused && this->causesCrashes(request, suspect)) {
             suspect.isRefused = true;
             refused.push_back(request);
         }
         if (suspect.isRefused) {
-            this->releaseBeside(request, suspect);
+            this->releaseCoincident(request, suspect);
         }
     }
     return refused;
 }
 
-bool RequestQuarantine::Private::isCulprit(const RequestFingerprint &request, const Suspect &suspect) const
+bool RequestQuarantine::Private::causesCrashes(const RequestFingerprint &request, const Suspect &suspect) const
 {
-    if (this->countOf(suspect, request) >= this->settings.mostCrashes) {
+    if (this->countCrashes(suspect, request) >= this->settings.crashThreshold) {
         return true;
     }
-    // A refused one may itself have been beside this one, which then goes on to end targets without it.
-    return this->countOf(suspect, {}) > this->settings.mostCrashes
+    // A refused request may only have been in flight beside this one, which then keeps crashing targets without it.
+    return this->countCrashes(suspect, {}) > this->settings.crashThreshold
         && std::none_of(this->suspects.begin(), this->suspects.end(), [&request, &suspect](const auto &entry) {
-               return entry.first != request && entry.second.isRefused && wasBeside(suspect, entry.second);
+               return entry.first != request && entry.second.isRefused && isCoveredBy(suspect, entry.second);
            });
 }
 
-void RequestQuarantine::Private::releaseBeside(const RequestFingerprint &request, const Suspect &culprit)
+void RequestQuarantine::Private::releaseCoincident(const RequestFingerprint &request, const Suspect &culprit)
 {
     for (auto &[other, suspect] : this->suspects) {
         if (other != request && suspect.isRefused && suspect.crashes.size() < culprit.crashes.size()) {
-            suspect.isRefused = !wasBeside(suspect, culprit);
+            suspect.isRefused = !isCoveredBy(suspect, culprit);
         }
     }
 }
 
-void RequestQuarantine::Private::acquit(const RequestFingerprint &request,
-                                        Millis at,
-                                        Millis now,
-                                        const InstanceId &from,
-                                        NewsScope scope)
+void RequestQuarantine::Private::applyAnswer(const RequestFingerprint &request,
+                                             Millis at,
+                                             Millis now,
+                                             const InstanceId &from,
+                                             NewsScope scope)
 {
     const auto found = this->suspects.find(request);
     if (found == this->suspects.end() || (found->second.answeredAt && *found->second.answeredAt >= at)) {
@@ -277,27 +286,27 @@
     suspect.answerFrom = from;
     suspect.answerScope = scope;
     std::erase_if(suspect.crashes, [at](const Crash &crash) { return crash.endedAt <= at; });
-    suspect.isRefused = suspect.isRefused && this->countOf(suspect, {}) >= this->settings.mostCrashes;
+    suspect.isRefused = suspect.isRefused && this->countCrashes(suspect, {}) >= this->settings.crashThreshold;
 }
 
 bool RequestQuarantine::Private::isExplained(const RequestFingerprint &request, const TargetId &target) const
 {
     return std::any_of(this->suspects.begin(), this->suspects.end(), [&request, &target](const auto &entry) {
-        return entry.second.isRefused && entry.first != request && hasEnded(entry.second, target);
+        return entry.second.isRefused && entry.first != request && hasCrashOf(entry.second, target);
     });
 }
 
-std::size_t RequestQuarantine::Private::countOf(const Suspect &suspect,
-                                                const std::optional<RequestFingerprint> &request) const
+std::size_t RequestQuarantine::Private::countCrashes(const Suspect &suspect,
+                                                     const std::optional<RequestFingerprint> &request) const
 {
     std::vector<Crash> ends = suspect.crashes;
     std::sort(ends.begin(), ends.end(), [](const Crash &a, const Crash &b) { return a.endedAt < b.endedAt; });
     std::size_t count = 0;
     const Crash *last = nullptr;
     for (const Crash &crash : ends) {
-        // One that came to its target after the other had ended was no part of the same loss.
-        const bool isApart = last == nullptr || crash.endedAt - last->endedAt > this->settings.sameMoment
-            || crash.sentAt + this->settings.tellingDelay >= last->endedAt;
+        // A request that reached its target after the other target had ended was not part of the same loss.
+        const bool isApart = last == nullptr || crash.endedAt - last->endedAt > this->settings.simultaneousWindow
+            || crash.sentAt + this->settings.maxReportDelay >= last->endedAt;
         if (isApart && !(request && this->isExplained(*request, crash.target))) {
             count += 1;
             last = &crash;
@@ -306,13 +315,13 @@
     return count;
 }
 
-Suspect RequestQuarantine::Private::likely(const RequestFingerprint &request, Millis now) const
+Suspect RequestQuarantine::Private::assumePendingCrashes(const RequestFingerprint &request, Millis now) const
 {
     const auto found = this->suspects.find(request);
     Suspect suspect = found != this->suspects.end() ? found->second : Suspect();
     for (const Loss &loss : this->losses) {
-        const bool isOpen = !loss.targetLives && now - loss.at <= this->settings.verdictTime;
-        if (loss.request == request && isOpen && !hasEnded(suspect, loss.target)) {
+        const bool isPending = !loss.isTargetAlive && now - loss.at <= this->settings.maxDetectionTime;
+        if (loss.request == request && isPending && !hasCrashOf(suspect, loss.target)) {
             suspect.crashes.push_back({loss.target, loss.sentAt, loss.at, loss.at, {}, NewsScope::Own});
         }
     }
@@ -322,13 +331,13 @@
 std::optional<Millis> RequestQuarantine::Private::answeredAt(const RequestFingerprint &request, Millis now) const
 {
     const auto found = this->answers.find(request);
-    const bool isRemembered = found != this->answers.end() && now - found->second <= this->settings.answerLife;
+    const bool isRemembered = found != this->answers.end() && now - found->second <= this->settings.answerTtl;
     return isRemembered ? std::optional(found->second) : std::nullopt;
 }
 
-void RequestQuarantine::Private::makeRoom()
+void RequestQuarantine::Private::evictOldestSuspects()
 {
-    while (this->suspects.size() > this->settings.mostSuspects) {
+    while (this->suspects.size() > this->settings.maxSuspects) {
         const auto oldest = std::min_element(
             this->suspects.begin(), this->suspects.end(), [](const auto &a, const auto &b) {
                 return std::pair(a.second.isRefused, a.second.seenAt) < std::pair(b.second.isRefused, b.second.seenAt);
@@ -340,41 +349,41 @@
 void RequestQuarantine::Private::expire(Millis now)
 {
     std::erase_if(this->suspects,
-                  [this, now](const auto &entry) { return now - entry.second.seenAt > this->settings.life; });
+                  [this, now](const auto &entry) { return now - entry.second.seenAt > this->settings.suspectTtl; });
 }
 
 void RequestQuarantine::Private::forgetLosses(Millis now)
 {
-    std::erase_if(this->losses, [this, now](const Loss &loss) { return now - loss.at > this->settings.lossLife; });
+    std::erase_if(this->losses, [this, now](const Loss &loss) { return now - loss.at > this->settings.lossTtl; });
 }
 
-std::vector<GatewayCrash> RequestQuarantine::newsFor(const InstanceId &peer, NewsScope scope, Millis now)
+std::vector<GatewayCrash> RequestQuarantine::reportFor(const InstanceId &peer, NewsScope scope, Millis now)
 {
     std::vector<std::pair<std::size_t, GatewayCrash>> news;
-    const bool tellsAll = this->d->reports[peer]++ % retellEvery == 0;
-    const auto isNews = [this, &peer, scope, now](Millis learntAt, const InstanceId &from, NewsScope own) {
-        return now - learntAt <= this->d->settings.toldFor && own <= scope && from != peer;
+    const bool isFullReport = this->d->reports[peer]++ % reportsPerFullReport == 0;
+    const auto isRecent = [this, &peer, scope, now](Millis learntAt, const InstanceId &from, NewsScope own) {
+        return now - learntAt <= this->d->settings.reportTtl && own <= scope && from != peer;
     };
     for (const auto &[request, suspect] : this->d->suspects) {
         const std::size_t weight = suspect.crashes.size();
-        if (suspect.answeredAt && isNews(suspect.answerLearntAt, suspect.answerFrom, suspect.answerScope)) {
+        if (suspect.answeredAt && isRecent(suspect.answerLearntAt, suspect.answerFrom, suspect.answerScope)) {
             news.push_back({weight, {request.caller, request.content, {}, now - *suspect.answeredAt, Millis{0}}});
         }
         for (const Crash &crash : suspect.crashes) {
-            if ((tellsAll && suspect.isRefused) || isNews(crash.learntAt, crash.from, crash.scope)) {
+            if ((isFullReport && suspect.isRefused) || isRecent(crash.learntAt, crash.from, crash.scope)) {
                 const Millis ranFor = crash.endedAt - crash.sentAt;
                 news.push_back({weight, {request.caller, request.content, crash.target, now - crash.endedAt, ranFor}});
             }
         }
     }
     std::stable_sort(news.begin(), news.end(), [](const auto &a, const auto &b) { return a.first > b.first; });
-    news.resize(std::min(news.size(), mostNews));
-    std::vector<GatewayCrash> told;
-    told.reserve(news.size());
+    news.resize(std::min(news.size(), maxReportEntries));
+    std::vector<GatewayCrash> entries;
+    entries.reserve(news.size());
     for (auto &[weight, crash] : news) {
-        told.push_back(std::move(crash));
+        entries.push_back(std::move(crash));
     }
-    return told;
+    return entries;
 }
 
 std::optional<Millis> RequestQuarantine::refusedFor(const RequestFingerprint &request, Millis now)
@@ -385,23 +394,25 @@
         if (this->d->losses.empty()) {
             return std::nullopt;
         }
-        const Suspect likely = this->d->likely(request, now);
-        const bool isOpen = found == this->d->suspects.end() || likely.crashes.size() > found->second.crashes.size();
-        return isOpen && this->d->isCulprit(request, likely) ? std::optional(this->d->settings.usualVerdictTime)
-                                                             : std::nullopt;
+        const Suspect likely = this->d->assumePendingCrashes(request, now);
+        const bool hasPending
+            = found == this->d->suspects.end() || likely.crashes.size() > found->second.crashes.size();
+        return hasPending && this->d->causesCrashes(request, likely)
+            ? std::optional(this->d->settings.usualDetectionTime)
+            : std::nullopt;
     }
-    if (now - found->second.seenAt > this->d->settings.life) {
+    if (now - found->second.seenAt > this->d->settings.suspectTtl) {
         this->d->suspects.erase(found);
         return std::nullopt;
     }
     found->second.seenAt = now;
-    return this->d->settings.life;
+    return this->d->settings.suspectTtl;
 }
 
 bool RequestQuarantine::mayRetry(const RequestFingerprint &request, Millis now) const
 {
-    const Suspect likely = this->d->likely(request, now);
-    return !likely.isRefused && this->d->countOf(likely, request) + 1 < this->d->settings.mostCrashes;
+    const Suspect likely = this->d->assumePendingCrashes(request, now);
+    return !likely.isRefused && this->d->countCrashes(likely, request) + 1 < this->d->settings.crashThreshold;
 }
 
 std::size_t RequestQuarantine::refusedCount() const
--- a/sequoiausher/coordination/gateway/requestquarantinetest.cpp
+++ b/sequoiausher/coordination/gateway/requestquarantinetest.cpp
@@ -19,15 +19,15 @@
     return {"t" + std::to_string(number)};
 }
 
-/** The request is at the target, which ends. */
+/** Lets the target end with the request in flight. */
 std::vector<RequestFingerprint>
 crash(RequestQuarantine &quarantine, const RequestFingerprint &request, int number, Millis at)
 {
-    quarantine.lost(request, target(number), at - runTime, at);
-    return quarantine.targetEnded(target(number), at + Millis{5});
+    quarantine.recordLostConnection(request, target(number), at - runTime, at);
+    return quarantine.recordTargetEnded(target(number), at + Millis{5});
 }
 
-/** Gateways that report to each other late, and lose some of their reports. */
+/** Gateways that report to each other with delays, and lose some of their reports. */
 struct Fleet
 {
     Fleet(std::size_t count, std::size_t hubCount, std::uint64_t seed) : gateways(count), hubs(hubCount), random(seed)
@@ -83,7 +83,7 @@
                 if (!this->reportsTo(from, to)) {
                     continue;
                 }
-                auto news = this->gateways[from].newsFor(name(to), this->scopeOf(from, to), now);
+                auto news = this->gateways[from].reportFor(name(to), this->scopeOf(from, to), now);
                 if (this->between(1, 100) > lostPercent) {
                     this->under.push_back({now + Millis{this->between(1, 60)}, from, to, std::move(news)});
                 }
@@ -95,7 +95,7 @@
                 later.push_back(std::move(message));
                 continue;
             }
-            this->gateways[message.to].heard(
+            this->gateways[message.to].mergeReport(
                 name(message.from), message.news, now, this->heardAs(message.from, message.to));
         }
         this->under = std::move(later);
@@ -119,7 +119,7 @@
 
 } // namespace
 
-TEST_CASE("a request is refused once three targets have ended under it, and for its whole life since")
+TEST_CASE("a request is refused once three targets have ended with it, until no caller has sent it for ten minutes")
 {
     RequestQuarantine quarantine;
     CHECK(crash(quarantine, culprit, 1, Millis{1000}).empty());
@@ -135,54 +135,54 @@
     CHECK_FALSE(quarantine.refusedFor(innocent, Millis{3100}));
 }
 
-TEST_CASE("while it is not known whether the third target ended, the request waits for a moment")
+TEST_CASE("a request is refused briefly while it is not known whether the third target ended")
 {
     RequestQuarantine quarantine;
     for (int i = 0; i < 3; ++i) {
         CHECK_FALSE(quarantine.refusedFor(culprit, Millis{i * 1000}));
-        quarantine.lost(culprit, target(i), Millis{i * 1000}, Millis{i * 1000 + 50});
+        quarantine.recordLostConnection(culprit, target(i), Millis{i * 1000}, Millis{i * 1000 + 50});
         if (i < 2) {
-            quarantine.targetEnded(target(i), Millis{i * 1000 + 60});
+            quarantine.recordTargetEnded(target(i), Millis{i * 1000 + 60});
         }
     }
     CHECK(quarantine.refusedFor(culprit, Millis{2060}) == Millis{250});
-    SUBCASE("it lives")
+    SUBCASE("the target is alive")
     {
-        quarantine.targetLives(target(2));
+        quarantine.recordTargetAlive(target(2));
         CHECK_FALSE(quarantine.refusedFor(culprit, Millis{2070}));
     }
-    SUBCASE("nobody can tell")
+    SUBCASE("the state of the target stays unknown")
     {
         CHECK_FALSE(quarantine.refusedFor(culprit, Millis{4100}));
     }
 }
 
-TEST_CASE("only what was at a target that ended counts, once for each target")
+TEST_CASE("only targets that ended count, once each")
 {
     RequestQuarantine quarantine;
-    SUBCASE("targets that live on")
+    SUBCASE("targets that stay alive")
     {
         for (int i = 0; i < 9; ++i) {
-            quarantine.lost(culprit, target(i), Millis{i * 1000}, Millis{i * 1000 + 50});
-            quarantine.targetLives(target(i));
+            quarantine.recordLostConnection(culprit, target(i), Millis{i * 1000}, Millis{i * 1000 + 50});
+            quarantine.recordTargetAlive(target(i));
         }
         for (int i = 0; i < 9; ++i) {
-            CHECK(quarantine.targetEnded(target(i), Millis{20000}).empty());
+            CHECK(quarantine.recordTargetEnded(target(i), Millis{20000}).empty());
         }
-        quarantine.lost(culprit, target(9), Millis{30000}, Millis{30000});
-        CHECK(quarantine.undecidedTargets(Millis{35000}).size() == 1);
-        CHECK(quarantine.undecidedTargets(Millis{35001}).empty());
+        quarantine.recordLostConnection(culprit, target(9), Millis{30000}, Millis{30000});
+        CHECK(quarantine.targetsToCheck(Millis{35000}).size() == 1);
+        CHECK(quarantine.targetsToCheck(Millis{35001}).empty());
     }
     SUBCASE("a target that is found to have ended long after the connection was lost")
     {
         for (int i = 0; i < 9; ++i) {
             const Millis at{i * 10000};
-            quarantine.lost(culprit, target(i), at, at);
-            quarantine.lost(innocent, target(100 + i), at + Millis{5000}, at + Millis{5000});
-            CHECK(quarantine.targetEnded(target(i), at + Millis{5001}).empty());
+            quarantine.recordLostConnection(culprit, target(i), at, at);
+            quarantine.recordLostConnection(innocent, target(100 + i), at + Millis{5000}, at + Millis{5000});
+            CHECK(quarantine.recordTargetEnded(target(i), at + Millis{5001}).empty());
         }
     }
-    SUBCASE("one target at which it was several times")
+    SUBCASE("one target that had the request several times")
     {
         for (int i = 0; i < 9; ++i) {
             CHECK(crash(quarantine, culprit, 1, Millis{1000 + i * 500}).empty());
@@ -191,35 +191,35 @@
     CHECK_FALSE(quarantine.refusedFor(culprit, Millis{90100}));
 }
 
-TEST_CASE("a target that something in between still takes connections for counts once the list has dropped it")
+TEST_CASE("a target behind a proxy that still accepts connections counts once the list has dropped it")
 {
     RequestQuarantine quarantine;
     for (int i = 0; i < 3; ++i) {
         const Millis at{1000 + i * 10000};
-        quarantine.lost(culprit, target(i), at - runTime, at);
-        quarantine.targetLives(target(i));
+        quarantine.recordLostConnection(culprit, target(i), at - runTime, at);
+        quarantine.recordTargetAlive(target(i));
         CHECK_FALSE(quarantine.refusedFor(culprit, at + Millis{100}));
-        CHECK(quarantine.undecidedTargets(at + Millis{100}) == std::vector{target(i)});
-        const auto refused = quarantine.targetEnded(target(i), at + Millis{3400});
+        CHECK(quarantine.targetsToCheck(at + Millis{100}) == std::vector{target(i)});
+        const auto refused = quarantine.recordTargetEnded(target(i), at + Millis{3400});
         CHECK(refused == (i < 2 ? std::vector<RequestFingerprint>() : std::vector{culprit}));
-        CHECK(quarantine.undecidedTargets(at + Millis{3400}).empty());
+        CHECK(quarantine.targetsToCheck(at + Millis{3400}).empty());
     }
 }
 
-TEST_CASE("targets that end together count once, unless the request came to the one after the other had ended")
+TEST_CASE("targets that end together count once, unless the request reached one after the other had ended")
 {
     RequestQuarantine quarantine;
     const auto lose = [&quarantine](int number, std::int64_t sentAt, std::int64_t at) {
-        quarantine.lost(culprit, target(number), Millis{sentAt}, Millis{at});
-        return quarantine.targetEnded(target(number), Millis{at + 5}).size();
+        quarantine.recordLostConnection(culprit, target(number), Millis{sentAt}, Millis{at});
+        return quarantine.recordTargetEnded(target(number), Millis{at + 5}).size();
     };
-    SUBCASE("a loss of a whole rack")
+    SUBCASE("the loss of a whole rack")
     {
         for (int i = 0; i < 9; ++i) {
             CHECK(lose(i, 900 + i, 1000 + i) == 0);
         }
     }
-    SUBCASE("retries that end one target right after the other")
+    SUBCASE("retries that crash one target right after the other")
     {
         CHECK(lose(1, 990, 1000) == 0);
         CHECK(lose(2, 1000, 1010) == 0);
@@ -227,19 +227,19 @@
     }
 }
 
-// Guards against refusing what many ask for because it was in hand at every target that ended.
-TEST_CASE("a whole answer acquits a request of what ended before it")
+// Guards against refusing a popular request only because it was in flight at every target that ended.
+TEST_CASE("a complete answer clears a request of earlier crashes")
 {
     RequestQuarantine quarantine;
     crash(quarantine, innocent, 1, Millis{1000});
     crash(quarantine, innocent, 2, Millis{2000});
-    SUBCASE("here")
+    SUBCASE("an answer at this gateway")
     {
-        quarantine.answered(innocent, Millis{2500});
+        quarantine.recordAnswer(innocent, Millis{2500});
     }
-    SUBCASE("at a peer")
+    SUBCASE("an answer at a peer")
     {
-        quarantine.heard(
+        quarantine.mergeReport(
             {"g2"}, {{innocent.caller, innocent.content, {}, Millis{500}, Millis{0}}}, Millis{3000}, NewsScope::Own);
     }
     CHECK(quarantine.mayRetry(innocent, Millis{3000}));
@@ -248,56 +248,56 @@
     CHECK(crash(quarantine, innocent, 5, Millis{6000}) == std::vector{innocent});
 }
 
-TEST_CASE("an answer here goes before a peer's blame for what ended earlier, and the peer is told")
+TEST_CASE("an answer at this gateway overrides a peer's report of earlier crashes, and the peer learns of it")
 {
     RequestQuarantine quarantine;
-    quarantine.answered(innocent, Millis{1000});
+    quarantine.recordAnswer(innocent, Millis{1000});
     std::vector<GatewayCrash> blame;
     for (int i = 0; i < 3; ++i) {
         blame.push_back({innocent.caller, innocent.content, target(i), Millis{4000 - i * 1000}, runTime});
     }
-    CHECK(quarantine.heard({"g2"}, blame, Millis{4500}, NewsScope::Own).empty());
-    const std::vector<GatewayCrash> news = quarantine.newsFor({"g2"}, NewsScope::Own, Millis{4600});
+    CHECK(quarantine.mergeReport({"g2"}, blame, Millis{4500}, NewsScope::Own).empty());
+    const std::vector<GatewayCrash> news = quarantine.reportFor({"g2"}, NewsScope::Own, Millis{4600});
     REQUIRE(news.size() == 1);
     CHECK(news[0].target.value.empty());
     CHECK(news[0].age == Millis{3600});
 }
 
-// Guards against refusing all that ran beside a request that crashes its targets.
-TEST_CASE("what ends beside a request that is refused already does not speak against others")
+// Guards against refusing all requests that were in flight beside a request that crashes its targets.
+TEST_CASE("crashes explained by a refused request do not count against other requests")
 {
     RequestQuarantine quarantine;
     for (int i = 0; i < 3; ++i) {
-        // The innocent one was there for longer each time.
+        // The innocent request was in flight for longer each time.
         const Millis at{1000 + i * 1000};
-        quarantine.lost(innocent, target(i), at - Millis{700}, at);
-        quarantine.lost(culprit, target(i), at - runTime, at);
-        const auto refused = quarantine.targetEnded(target(i), at);
+        quarantine.recordLostConnection(innocent, target(i), at - Millis{700}, at);
+        quarantine.recordLostConnection(culprit, target(i), at - runTime, at);
+        const auto refused = quarantine.recordTargetEnded(target(i), at);
         CHECK(refused == (i < 2 ? std::vector<RequestFingerprint>() : std::vector{culprit}));
     }
     CHECK_FALSE(quarantine.refusedFor(innocent, Millis{4000}));
 }
 
-TEST_CASE("memory is bounded, and what is refused goes last")
+TEST_CASE("memory is bounded, and refused requests are dropped last")
 {
     RequestQuarantineSettings settings;
-    settings.mostSuspects = 50;
-    settings.mostAnswers = 50;
+    settings.maxSuspects = 50;
+    settings.maxAnswers = 50;
     RequestQuarantine quarantine(settings);
     for (int i = 0; i < 3; ++i) {
         crash(quarantine, culprit, i, Millis{i * 1000});
     }
     for (int i = 0; i < 1000; ++i) {
         crash(quarantine, {7, static_cast<std::uint64_t>(i)}, 10 + i, Millis{5000 + i});
-        quarantine.answered({8, static_cast<std::uint64_t>(i)}, Millis{5000 + i});
+        quarantine.recordAnswer({8, static_cast<std::uint64_t>(i)}, Millis{5000 + i});
     }
     CHECK(quarantine.refusedCount() == 1);
     CHECK(quarantine.refusedFor(culprit, Millis{9000}));
-    CHECK(quarantine.newsFor({"g2"}, NewsScope::All, Millis{9000}).size() <= 256);
+    CHECK(quarantine.reportFor({"g2"}, NewsScope::All, Millis{9000}).size() <= 256);
 }
 
-// Guards against a loss of many targets that fills reports and keeps a request that crashes targets out of them.
-TEST_CASE("what most targets ended under is told first")
+// Guards against the loss of many targets filling the reports, which would leave out a request that crashes targets.
+TEST_CASE("requests with the most crashes are reported first")
 {
     RequestQuarantine quarantine;
     const RequestFingerprint last{~std::uint64_t{0}, 1};
@@ -306,18 +306,18 @@
     }
     crash(quarantine, last, 1000, Millis{1000});
     crash(quarantine, last, 1001, Millis{1200});
-    const std::vector<GatewayCrash> news = quarantine.newsFor({"g2"}, NewsScope::Own, Millis{1300});
+    const std::vector<GatewayCrash> news = quarantine.reportFor({"g2"}, NewsScope::Own, Millis{1300});
     CHECK(news.size() == 256);
     REQUIRE(news.size() > 2);
     CHECK(news[0].caller == last.caller);
     CHECK(news[1].caller == last.caller);
 }
 
-TEST_CASE("nonsense in a peer's report does no harm")
+TEST_CASE("invalid values in a peer's report are ignored")
 {
     RequestQuarantine quarantine;
     for (int i = 0; i < 9; ++i) {
-        quarantine.heard(
+        quarantine.mergeReport(
             {"g2"},
             {{1, 2, target(i), Millis::never(), Millis::never()}, {1, 3, target(i), Millis{-5}, Millis{-9}}},
             Millis{1000},
@@ -327,8 +327,8 @@
     CHECK_FALSE(quarantine.refusedFor({1, 3}, Millis{1000}));
 }
 
-// Guards against a fleet in which each gateway, or each that hears late, sends such a request on once more.
-TEST_CASE("a fleet sends a request that crashes its targets on at most three times after it has heard of the third")
+// Guards against a fleet in which each gateway, or each that receives reports late, sends such a request once more.
+TEST_CASE("a fleet sends a request that crashes targets at most three more times once the third crash was reported")
 {
     struct Size
     {
@@ -353,14 +353,14 @@
                 fleet.pass(now);
                 constexpr std::int64_t innocents = 40;
                 if (fleet.between(1, 5) == 1) {
-                    // Others ask again and again, some for what has just been cut.
+                    // Other callers repeat their requests, some of which have just lost their target.
                     const RequestFingerprint other{2, static_cast<std::uint64_t>(fleet.between(1, innocents))};
                     RequestQuarantine &at = fleet.gateways[any()];
                     innocentsAsked += 1;
                     if (at.refusedFor(other, now)) {
                         innocentsRefused += 1;
                     } else if (fleet.between(1, 4) == 1) {
-                        at.answered(other, now);
+                        at.recordAnswer(other, now);
                     }
                 }
                 if (now.count % 250 != 0) {
@@ -377,13 +377,13 @@
                 for (int beside = 0; beside < 10; ++beside) {
                     const RequestFingerprint other{2, static_cast<std::uint64_t>(fleet.between(1, innocents))};
                     RequestQuarantine &elsewhere = fleet.gateways[any()];
-                    elsewhere.lost(other, target(ended), now - Millis{fleet.between(50, 900)}, now);
-                    elsewhere.targetEnded(target(ended), now + Millis{5});
+                    elsewhere.recordLostConnection(other, target(ended), now - Millis{fleet.between(50, 900)}, now);
+                    elsewhere.recordTargetEnded(target(ended), now + Millis{5});
                 }
             }
             CHECK(third);
             CHECK(lateArrivals <= 3);
-            // A third of a second to the next report, twice over the hubs, and every fifth report is lost.
+            // Reports are a third of a second apart, pass two hubs, and every fifth of them is lost.
             CHECK(ended <= 12);
             MESSAGE(size.gateways,
                     " gateways, seed ",
--- a/sequoiausher/transport/gateway/gatewayknowledge.cpp
+++ b/sequoiausher/transport/gateway/gatewayknowledge.cpp
@@ -183,7 +183,7 @@
     }
     const bool proves = this->restored.proves(this->readRevision, stored.changedAt, Millis::monotonicNow());
     if (readAt && proves) {
-        this->context.freshness.proven(this->readRevision, *readAt);
+        this->context.freshness.recordProof(this->readRevision, *readAt);
     }
     this->hasAskedConfiguration = true;
     this->noteFirstReading();
@@ -212,7 +212,7 @@
         leaving += target.isLeaving ? 1 : 0;
     }
     // A target that was dropped without a word ended, also where something in between still takes its connections.
-    for (const TargetId &lost : this->context.quarantine.undecidedTargets(now)) {
+    for (const TargetId &lost : this->context.quarantine.targetsToCheck(now)) {
         if (!this->context.board.isListed(lost)) {
             this->context.targetEnded(lost);
         }
--- a/sequoiausher/transport/gateway/gatewaypeers.cpp
+++ b/sequoiausher/transport/gateway/gatewaypeers.cpp
@@ -222,7 +222,7 @@
     report.dataCentre = this->context.settings.dataCentre;
     const bool isToHub = directory.isHub(peer);
     const NewsScope scope = !report.isHub ? NewsScope::Own : isToHub ? NewsScope::Group : NewsScope::All;
-    report.crashes = this->context.quarantine.newsFor(peer, scope, now);
+    report.crashes = this->context.quarantine.reportFor(peer, scope, now);
     report.placements = this->context.parts.newsFor(peer, scope);
     if (!report.isHub) {
         report.loads = this->context.board.ownLoads(now);
@@ -261,7 +261,7 @@
     this->news.eraOffered(report.storeEra, from);
     const Revision targets = this->positionOf(report.storeEra, report.targets);
     this->context.peers.heardFrom(from, report, now);
-    this->context.freshness.vouched(report.configuration, report.proofAge, report.echo);
+    this->context.freshness.recordPeerProof(report.configuration, report.proofAge, report.echo);
     const bool isHub = this->context.peers.isHub(now);
     if (report.isHub && !isHub) {
         // Each hub says what all others have: of two, the older one's word would count everything twice.
@@ -272,7 +272,7 @@
     for (const GatewayPlacement &placement : report.placements) {
         this->context.parts.heard(from, placement.part, placement.target, now, scope);
     }
-    this->context.requestsRefused(this->context.quarantine.heard(from, report.crashes, now, scope), from.value);
+    this->context.requestsRefused(this->context.quarantine.mergeReport(from, report.crashes, now, scope), from.value);
     const bool comesBefore = this->context.peers.comesBefore(from, now);
     this->context.duty.heard({report.storeAge, report.echo, report.isHub, !report.isResting, comesBefore, targets},
                              now);
