--- a/lab/model/engineservicemodel.cpp
+++ b/lab/model/engineservicemodel.cpp
@@ -174,7 +174,7 @@
         gateway.passedOn = std::exchange(gateway.told, gateway.board->ownLoads(this->events.clock()));
         this->addToSums(gateway.passedOn, 1);
         gateway.board->beginRound();
-        gateway.board->peerReported(hub, this->loadsOfOthers(index), this->events.clock());
+        gateway.board->updatePeerLoads(hub, this->loadsOfOthers(index), this->events.clock());
         this->hearPlacements(index);
         if (this->events.now() < this->lengthMs()) {
             this->events.at(this->events.now() + this->reportMs(), [this, index] { this->report(index); });
@@ -209,7 +209,8 @@
                && this->placements[gateway.placementsHeard].at < heardUpTo) {
             const Placement &placement = this->placements[gateway.placementsHeard++];
             if (placement.gateway != index) {
-                gateway.parts.heard(hub, placement.part, placement.target, this->events.clock(), NewsScope::Own);
+                gateway.parts.recordPeerPlacement(
+                    hub, placement.part, placement.target, this->events.clock(), UpdateScope::Own);
             }
         }
     }
@@ -264,8 +265,8 @@
         criteria.holders = parts.holders(gateway.parts, this->events.clock());
         criteria.requestHash = this->random();
         const TargetId target = gateway.board->choose(criteria, this->events.clock())->target.id;
-        gateway.board->started(target);
-        parts.sent(gateway.parts, target, this->events.clock());
+        gateway.board->recordStart(target);
+        parts.recordSent(gateway.parts, target, this->events.clock());
         this->placements.push_back({this->events.now(), index, parts.last(), target});
         this->work(index, kind, target, parts.last());
     }
@@ -275,7 +276,7 @@
         const auto engine = this->engines.find(target);
         if (engine == this->engines.end()) {
             // The gateway has not heard yet that it is gone.
-            this->gateways[gateway].board->ended(target, AttemptMark::Neutral, this->events.clock());
+            this->gateways[gateway].board->recordEnd(target, TargetOutcome::Neutral, this->events.clock());
             return;
         }
         this->count(engine->second);
@@ -284,7 +285,7 @@
         this->running += 1;
         const double took = kinds[kind].meanMs * this->uniform(0.5, 1.5);
         this->events.at(this->events.now() + took, [this, gateway, target] {
-            this->gateways[gateway].board->ended(target, AttemptMark::Answered, this->events.clock());
+            this->gateways[gateway].board->recordEnd(target, TargetOutcome::Answered, this->events.clock());
             const auto present = this->engines.find(target);
             if (present != this->engines.end()) {
                 present->second.held -= 1;
--- a/lab/model/plainservicemodel.cpp
+++ b/lab/model/plainservicemodel.cpp
@@ -129,7 +129,7 @@
         for (const auto &[target, inFlight] : sums) {
             heard.push_back({target, inFlight, false});
         }
-        gateway.board->peerReported(InstanceId{"hub"}, heard, this->events.clock());
+        gateway.board->updatePeerLoads(InstanceId{"hub"}, heard, this->events.clock());
         if (!this->isOver()) {
             this->events.at(this->events.now() + this->reportMs(), [this, index] { this->report(index); });
         }
@@ -190,7 +190,7 @@
             this->refuse(request, leastReturnMs);
             return;
         }
-        gateway.board->started(chosen->target.id);
+        gateway.board->recordStart(chosen->target.id);
         this->send(request, index, this->targetOf(chosen->target.id));
     }
 
@@ -223,7 +223,7 @@
         if (target.running >= this->day.places && target.waiting.size() >= this->day.queue) {
             this->result.bounced += 1;
             if (!this->policy.knowsAll) {
-                this->gateways[gateway].board->ended(target.id, AttemptMark::Full, this->events.clock());
+                this->gateways[gateway].board->recordEnd(target.id, TargetOutcome::Full, this->events.clock());
                 this->gateways[gateway].shedder.rejected(service, this->events.clock());
             }
             this->refuse(request, leastReturnMs);
@@ -261,10 +261,11 @@
             return;
         }
         Gateway &gateway = this->gateways[done.gateway];
-        const bool isCrowded = gateway.board->inFlight(service, this->events.clock()) > gateway.board->places(service);
-        gateway.board->ended(target.id, AttemptMark::Answered, this->events.clock());
+        const bool isCrowded
+            = gateway.board->inFlight(service, this->events.clock()) > gateway.board->totalSlots(service);
+        gateway.board->recordEnd(target.id, TargetOutcome::Answered, this->events.clock());
         const Millis answerTime{std::llround(this->events.now() - done.sentAt)};
-        gateway.board->answerTook(target.id, answerTime);
+        gateway.board->recordAnswerTime(target.id, answerTime);
         gateway.shedder.answered(service, {answerTime, this->day.aim, isCrowded}, this->events.clock());
     }
 
--- a/sequoiausher/coordination/gateway/attemptverdict.cpp
+++ b/sequoiausher/coordination/gateway/attemptverdict.cpp
@@ -17,7 +17,7 @@
 
 AttemptVerdict notRun(const AnswerState &state)
 {
-    return {AttemptEnd::NotRun, state.isMisdirected ? AttemptMark::Lost : AttemptMark::Full};
+    return {AttemptEnd::NotRun, state.isMisdirected ? TargetOutcome::Lost : TargetOutcome::Full};
 }
 
 } // namespace
@@ -27,7 +27,7 @@
     if (saysNotRun(state)) {
         return notRun(state);
     }
-    const AttemptVerdict failed{AttemptEnd::Failed, AttemptMark::Failed};
+    const AttemptVerdict failed{AttemptEnd::Failed, TargetOutcome::Failed};
     if (state.isAnswerBegun) {
         // Otherwise the target that was to go on with a stream gives no stream.
         return state.isGivenAsItComes ? std::nullopt : std::optional(failed);
@@ -37,29 +37,29 @@
 
 AttemptVerdict judgeLost(const AnswerState &state, AttemptEnd how)
 {
-    return saysNotRun(state) ? notRun(state) : AttemptVerdict{how, AttemptMark::Lost};
+    return saysNotRun(state) ? notRun(state) : AttemptVerdict{how, TargetOutcome::Lost};
 }
 
 std::optional<AttemptVerdict> judgeGivenUp(WaitVerdict verdict, bool hasHead)
 {
     switch (verdict) {
     case WaitVerdict::TimeUp:
-        return AttemptVerdict{AttemptEnd::TimeUp, hasHead ? AttemptMark::Neutral : AttemptMark::Lost};
+        return AttemptVerdict{AttemptEnd::TimeUp, hasHead ? TargetOutcome::Neutral : TargetOutcome::Lost};
     case WaitVerdict::NoConnection:
-        return AttemptVerdict{AttemptEnd::NotSent, AttemptMark::Lost};
+        return AttemptVerdict{AttemptEnd::NotSent, TargetOutcome::Lost};
     case WaitVerdict::Lost:
-        return AttemptVerdict{hasHead ? AttemptEnd::Broken : AttemptEnd::NoAnswer, AttemptMark::Neutral};
+        return AttemptVerdict{hasHead ? AttemptEnd::Broken : AttemptEnd::NoAnswer, TargetOutcome::Neutral};
     case WaitVerdict::BetterElsewhere:
-        return AttemptVerdict{AttemptEnd::Silent, AttemptMark::Lost};
+        return AttemptVerdict{AttemptEnd::Silent, TargetOutcome::Lost};
     case WaitVerdict::GoOn:
         break;
     }
     return std::nullopt;
 }
 
-AttemptMark markOfAnswer(int status)
+TargetOutcome markOfAnswer(int status)
 {
-    return status >= firstFailure ? AttemptMark::Failed : AttemptMark::Answered;
+    return status >= firstFailure ? TargetOutcome::Failed : TargetOutcome::Answered;
 }
 
 bool promisesTooMuch(int status, bool didNotRun)
--- a/sequoiausher/coordination/gateway/attemptverdict.h
+++ b/sequoiausher/coordination/gateway/attemptverdict.h
@@ -37,7 +37,7 @@
 struct AttemptVerdict
 {
     AttemptEnd end = AttemptEnd::NoAnswer;
-    AttemptMark mark = AttemptMark::Neutral;
+    TargetOutcome mark = TargetOutcome::Neutral;
 
     bool operator==(const AttemptVerdict &) const = default;
 };
@@ -52,7 +52,7 @@
 std::optional<AttemptVerdict> judgeGivenUp(WaitVerdict verdict, bool hasHead);
 
 /** What an answer that is for the caller tells of its target. */
-AttemptMark markOfAnswer(int status);
+TargetOutcome markOfAnswer(int status);
 
 /**
  * Whether the status would tell the caller that the request did not run, where the target has not said so. Such an
--- a/sequoiausher/coordination/gateway/attemptverdicttest.cpp
+++ b/sequoiausher/coordination/gateway/attemptverdicttest.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr AttemptVerdict full{AttemptEnd::NotRun, AttemptMark::Full};
-constexpr AttemptVerdict misdirected{AttemptEnd::NotRun, AttemptMark::Lost};
-constexpr AttemptVerdict failed{AttemptEnd::Failed, AttemptMark::Failed};
+constexpr AttemptVerdict full{AttemptEnd::NotRun, TargetOutcome::Full};
+constexpr AttemptVerdict misdirected{AttemptEnd::NotRun, TargetOutcome::Lost};
+constexpr AttemptVerdict failed{AttemptEnd::Failed, TargetOutcome::Failed};
 
 /** The head of an answer with this status has come, and the caller has nothing yet. */
 AnswerState answered(int status, bool isIdempotent)
@@ -94,8 +94,8 @@
 {
     for (const AttemptEnd how : {AttemptEnd::NotSent, AttemptEnd::NoAnswer, AttemptEnd::Broken}) {
         CAPTURE(nameOf(how));
-        CHECK(judgeLost(AnswerState(), how) == AttemptVerdict{how, AttemptMark::Lost});
-        CHECK(judgeLost(answered(200, true), how) == AttemptVerdict{how, AttemptMark::Lost});
+        CHECK(judgeLost(AnswerState(), how) == AttemptVerdict{how, TargetOutcome::Lost});
+        CHECK(judgeLost(answered(200, true), how) == AttemptVerdict{how, TargetOutcome::Lost});
         // The head says all that matters: the rest of a refusal is not waited for.
         CHECK(judgeLost(refused(503, false), how) == full);
         CHECK(judgeLost(refused(421, true), how) == misdirected);
@@ -113,14 +113,14 @@
     const std::vector<Case> cases{
         {WaitVerdict::GoOn, false, std::nullopt},
         {WaitVerdict::GoOn, true, std::nullopt},
-        {WaitVerdict::TimeUp, false, AttemptVerdict{AttemptEnd::TimeUp, AttemptMark::Lost}},
-        {WaitVerdict::TimeUp, true, AttemptVerdict{AttemptEnd::TimeUp, AttemptMark::Neutral}},
-        {WaitVerdict::NoConnection, false, AttemptVerdict{AttemptEnd::NotSent, AttemptMark::Lost}},
-        {WaitVerdict::NoConnection, true, AttemptVerdict{AttemptEnd::NotSent, AttemptMark::Lost}},
-        {WaitVerdict::Lost, false, AttemptVerdict{AttemptEnd::NoAnswer, AttemptMark::Neutral}},
-        {WaitVerdict::Lost, true, AttemptVerdict{AttemptEnd::Broken, AttemptMark::Neutral}},
-        {WaitVerdict::BetterElsewhere, false, AttemptVerdict{AttemptEnd::Silent, AttemptMark::Lost}},
-        {WaitVerdict::BetterElsewhere, true, AttemptVerdict{AttemptEnd::Silent, AttemptMark::Lost}},
+        {WaitVerdict::TimeUp, false, AttemptVerdict{AttemptEnd::TimeUp, TargetOutcome::Lost}},
+        {WaitVerdict::TimeUp, true, AttemptVerdict{AttemptEnd::TimeUp, TargetOutcome::Neutral}},
+        {WaitVerdict::NoConnection, false, AttemptVerdict{AttemptEnd::NotSent, TargetOutcome::Lost}},
+        {WaitVerdict::NoConnection, true, AttemptVerdict{AttemptEnd::NotSent, TargetOutcome::Lost}},
+        {WaitVerdict::Lost, false, AttemptVerdict{AttemptEnd::NoAnswer, TargetOutcome::Neutral}},
+        {WaitVerdict::Lost, true, AttemptVerdict{AttemptEnd::Broken, TargetOutcome::Neutral}},
+        {WaitVerdict::BetterElsewhere, false, AttemptVerdict{AttemptEnd::Silent, TargetOutcome::Lost}},
+        {WaitVerdict::BetterElsewhere, true, AttemptVerdict{AttemptEnd::Silent, TargetOutcome::Lost}},
     };
     for (const Case &given : cases) {
         CAPTURE(nameOf(given.why));
@@ -149,7 +149,7 @@
         const std::optional<AttemptVerdict> whole = judgeWhole(state);
         if (whole && whole->end == AttemptEnd::Failed) {
             CHECK((state.isIdempotent || state.isAnswerBegun));
-            CHECK(whole->mark == AttemptMark::Failed);
+            CHECK(whole->mark == TargetOutcome::Failed);
         }
     });
 }
@@ -170,7 +170,7 @@
         CHECK_FALSE(promisesTooMuch(status, true));
         const bool promises = status == 408 || status == 421 || status == 429 || status == 503;
         CHECK(promisesTooMuch(status, false) == promises);
-        CHECK((markOfAnswer(status) == AttemptMark::Failed) == (status >= 500));
-        CHECK((markOfAnswer(status) == AttemptMark::Answered) == (status < 500));
+        CHECK((markOfAnswer(status) == TargetOutcome::Failed) == (status >= 500));
+        CHECK((markOfAnswer(status) == TargetOutcome::Answered) == (status < 500));
     }
 }
--- a/sequoiausher/coordination/gateway/holderchoice.cpp
+++ b/sequoiausher/coordination/gateway/holderchoice.cpp
@@ -10,16 +10,16 @@
 namespace {
 
 /** Holders with less room than this part of the bound take a request only by chance. */
-constexpr double scarcePart = 0.3;
+constexpr double scarceRoomFraction = 0.3;
 
 /**
  * Whether holders with so much room together take the request. Were all gateways to stop at the bound and not before,
  * those that hear late would all send until it is passed, and then all stay away until the target is nearly empty.
  */
-bool isTaken(std::uint64_t room, std::uint64_t bound, std::uint64_t requestHash)
+bool acceptsRequest(std::uint64_t room, std::uint64_t bound, std::uint64_t requestHash)
 {
-    const double enough = scarcePart * static_cast<double>(bound);
-    return unitDraw(rendezvousWeight(requestHash, bound)) * enough <= static_cast<double>(room);
+    const double ampleRoom = scarceRoomFraction * static_cast<double>(bound);
+    return unitDraw(rendezvousWeight(requestHash, bound)) * ampleRoom <= static_cast<double>(room);
 }
 
 } // namespace
@@ -37,7 +37,7 @@
             total += rooms.back().second;
         }
     }
-    if (total == 0 || !isTaken(total, load.lowestBound, requestHash)) {
+    if (total == 0 || !acceptsRequest(total, load.lowestBound, requestHash)) {
         return std::nullopt;
     }
     // A part in heavy use is held by several: were all gateways to take the first one with room, they would fill it
--- a/sequoiausher/coordination/gateway/peerdirectory.cpp
+++ b/sequoiausher/coordination/gateway/peerdirectory.cpp
@@ -13,32 +13,32 @@
 namespace {
 
 /** A gateway that was heard of so lately is at work. */
-constexpr Millis memberLife{5000};
+constexpr Millis memberTtl{5000};
 /** One that was not heard of for so long is forgotten: machines are replaced under other addresses. */
-constexpr Millis memory{60000};
+constexpr Millis peerTtl{60000};
 /** Up to so many gateways everybody reports to everybody: with more, 200 reports a second would come and go. */
-constexpr std::size_t smallFleet = 10;
-constexpr std::size_t fewestHubs = 4;
+constexpr std::size_t maxFleetWithoutHubs = 10;
+constexpr std::size_t minHubs = 4;
 /** Who has less than one part of so many of the strongest one's strength is no hub while there are others. */
-constexpr unsigned int weakFraction = 2;
+constexpr unsigned int weakStrengthDivisor = 2;
 /** After so many rounds at a hub of another data centre a gateway tries its own again: the lists know by then. */
-constexpr std::size_t roundsAway = 16;
+constexpr std::size_t maxRoundsAtRemoteHub = 16;
 /** A hub that has not answered so many reports in a row is left for the next one. */
-constexpr std::uint32_t mostUnanswered = 2;
+constexpr std::uint32_t maxUnansweredReports = 2;
 /** For so long the list of hubs is kept: less than a round, so that each round goes by the present one. */
-constexpr Millis hubsLife{250};
+constexpr Millis hubListTtl{250};
 /** What a fleet may have before anything is known of it. */
-constexpr std::size_t unknownFleetSize = 12;
+constexpr std::size_t assumedFleetSize = 12;
 
 } // namespace
 
 class PeerDirectory::Private
 {
 public:
-    struct Known
+    struct PeerRecord
     {
         /** When anybody last heard from it. */
-        Millis heardAt;
+        Millis lastSeenAt;
         Millis newestSentAt;
         bool isHub = false;
         std::uint16_t strength = 0;
@@ -50,9 +50,9 @@
     /** The hubs in the order that all share, worked out anew now and then: it takes a look at every name. */
     const std::vector<InstanceId> &hubs(Millis now)
     {
-        if (!this->hubsKnown || now - this->hubsAt >= hubsLife) {
-            this->hubsKnown = true;
-            this->hubsAt = now;
+        if (!this->hasHubList || now - this->hubsUpdatedAt >= hubListTtl) {
+            this->hasHubList = true;
+            this->hubsUpdatedAt = now;
             this->currentHubs = this->findHubs(now);
             const auto found = std::find(this->currentHubs.begin(), this->currentHubs.end(), this->self);
             this->selfIsHub = found != this->currentHubs.end();
@@ -71,7 +71,7 @@
         /** Too weak to carry others while there are stronger ones. */
         bool isWeak = false;
         /** Its place among its data centre's, 0 first. */
-        std::size_t place = 0;
+        std::size_t rankInDataCentre = 0;
     };
 
     static bool isStronger(const Candidate &a, const Candidate &b)
@@ -80,20 +80,21 @@
     }
 
     /** The first of each data centre, then the second of each, and so on; weak ones last. */
-    static bool comesFirst(const Candidate &a, const Candidate &b)
+    static bool hasHubPriority(const Candidate &a, const Candidate &b)
     {
         if (a.isWeak != b.isWeak) {
             return b.isWeak;
         }
-        return !a.isWeak && a.place != b.place ? a.place < b.place : isStronger(a, b);
+        return !a.isWeak && a.rankInDataCentre != b.rankInDataCentre ? a.rankInDataCentre < b.rankInDataCentre
+                                                                     : isStronger(a, b);
     }
 
-    std::vector<Candidate> live(Millis now) const
+    std::vector<Candidate> liveCandidates(Millis now) const
     {
         std::vector<Candidate> all{{this->strength, hash64(this->self.value), &this->self, &this->dataCentre}};
-        for (const auto &[peer, one] : this->known) {
-            if (now - one.heardAt < memberLife) {
-                all.push_back({one.strength, one.hash, &peer, &one.dataCentre});
+        for (const auto &[peer, record] : this->known) {
+            if (now - record.lastSeenAt < memberTtl) {
+                all.push_back({record.strength, record.hash, &peer, &record.dataCentre});
             }
         }
         return all;
@@ -101,20 +102,20 @@
 
     std::vector<InstanceId> findHubs(Millis now) const
     {
-        std::vector<Candidate> all = this->live(now);
-        if (all.size() <= smallFleet) {
+        std::vector<Candidate> all = this->liveCandidates(now);
+        if (all.size() <= maxFleetWithoutHubs) {
             return {};
         }
         std::sort(all.begin(), all.end(), isStronger);
-        std::map<DataCentreId, std::size_t> places;
-        for (Candidate &each : all) {
-            each.isWeak = each.strength * weakFraction < all.front().strength;
-            each.place = places[*each.dataCentre]++;
+        std::map<DataCentreId, std::size_t> nextRank;
+        for (Candidate &candidate : all) {
+            candidate.isWeak = candidate.strength * weakStrengthDivisor < all.front().strength;
+            candidate.rankInDataCentre = nextRank[*candidate.dataCentre]++;
         }
         // So many that a hub answers about as many gateways as there are hubs, four times over.
         const auto root = static_cast<std::size_t>(std::lround(std::sqrt(static_cast<double>(all.size())) / 2));
-        const std::size_t count = std::min(std::max(fewestHubs, root), all.size());
-        std::partial_sort(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(count), all.end(), comesFirst);
+        const std::size_t count = std::min(std::max(minHubs, root), all.size());
+        std::partial_sort(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(count), all.end(), hasHubPriority);
         std::vector<InstanceId> hubs;
         for (std::size_t i = 0; i < count; ++i) {
             hubs.push_back(*all[i].instance);
@@ -122,37 +123,40 @@
         return hubs;
     }
 
-    bool isNear(const InstanceId &peer) const
+    bool isInOwnDataCentre(const InstanceId &peer) const
     {
         const auto found = this->known.find(peer);
         return found != this->known.end() && found->second.dataCentre == this->dataCentre;
     }
 
     /** Whether it is time to go back to a hub of the own data centre, after another one had to stand in. */
-    bool shouldReturn(const std::vector<InstanceId> &all) const
+    bool shouldReturnToOwnDataCentre(const std::vector<InstanceId> &all) const
     {
-        return this->roundsAtHub >= roundsAway && !this->isNear(this->hub)
-            && std::any_of(all.begin(), all.end(), [this](const InstanceId &each) { return this->isNear(each); });
+        return this->roundsAtHub >= maxRoundsAtRemoteHub && !this->isInOwnDataCentre(this->hub)
+            && std::any_of(all.begin(), all.end(), [this](const InstanceId &candidate) {
+                   return this->isInOwnDataCentre(candidate);
+               });
     }
 
     /** The hub to which this gateway turns where its own leaves it without an answer. */
     const InstanceId &nextHub(const std::vector<InstanceId> &all) const
     {
-        std::vector<const InstanceId *> near;
-        std::vector<const InstanceId *> others;
-        for (const InstanceId &each : all) {
-            if (each != this->hub) {
-                (this->isNear(each) ? near : others).push_back(&each);
+        std::vector<const InstanceId *> ownDataCentreHubs;
+        std::vector<const InstanceId *> remoteHubs;
+        for (const InstanceId &candidate : all) {
+            if (candidate != this->hub) {
+                (this->isInOwnDataCentre(candidate) ? ownDataCentreHubs : remoteHubs).push_back(&candidate);
             }
         }
         // A near one that has just failed may be named for seconds: the one after it is to be a far one.
-        const bool staysNear = others.empty() || (!near.empty() && !this->isNear(this->hub));
-        const std::vector<const InstanceId *> &from = staysNear ? near : others;
-        const std::uint64_t order = hash64(this->self.value, this->seed) + this->changes;
+        const bool usesOwnDataCentre
+            = remoteHubs.empty() || (!ownDataCentreHubs.empty() && !this->isInOwnDataCentre(this->hub));
+        const std::vector<const InstanceId *> &from = usesOwnDataCentre ? ownDataCentreHubs : remoteHubs;
+        const std::uint64_t order = hash64(this->self.value, this->seed) + this->hubChanges;
         return from.empty() ? all.front() : *from[order % from.size()];
     }
 
-    Known &entryOf(const InstanceId &peer)
+    PeerRecord &entryOf(const InstanceId &peer)
     {
         const auto [entry, isNew] = this->known.try_emplace(peer);
         if (isNew) {
@@ -163,21 +167,21 @@
 
     InstanceId self;
     std::set<InstanceId> seeds;
-    std::map<InstanceId, Known> known;
+    std::map<InstanceId, PeerRecord> known;
     std::uint64_t seed = 0;
     std::uint16_t strength = 0;
     DataCentreId dataCentre;
-    bool hasHeard = false;
+    bool hasReceivedReport = false;
     /** The hub that this gateway reports to, and how many reports it left unanswered. */
     InstanceId hub;
-    std::uint32_t unanswered = 0;
+    std::uint32_t unansweredReports = 0;
     std::size_t roundsAtHub = 0;
-    std::uint64_t changes = 0;
+    std::uint64_t hubChanges = 0;
     std::vector<InstanceId> currentHubs;
-    bool hubsKnown = false;
+    bool hasHubList = false;
     bool selfIsHub = false;
     std::size_t selfRank = 0;
-    Millis hubsAt;
+    Millis hubsUpdatedAt;
 };
 
 PeerDirectory::PeerDirectory(InstanceId self, const std::vector<InstanceId> &seeds, std::uint64_t seed)
@@ -202,36 +206,36 @@
     this->d->dataCentre = dataCentre;
 }
 
-void PeerDirectory::heardFrom(const InstanceId &peer, const GatewayReport &report, Millis now)
+void PeerDirectory::recordReport(const InstanceId &peer, const GatewayReport &report, Millis now)
 {
-    this->d->hasHeard = true;
+    this->d->hasReceivedReport = true;
     if (peer == this->d->hub) {
-        this->d->unanswered = 0;
+        this->d->unansweredReports = 0;
     }
-    Private::Known &known = this->d->entryOf(peer);
-    known.heardAt = now;
+    Private::PeerRecord &known = this->d->entryOf(peer);
+    known.lastSeenAt = now;
     known.newestSentAt = report.sentAt;
     known.isHub = report.isHub;
     known.strength = report.strength;
     known.dataCentre = report.dataCentre;
     for (const GatewayMember &member : report.members) {
-        if (member.instance != this->d->self && member.age < memory) {
-            Private::Known &other = this->d->entryOf(member.instance);
-            other.heardAt = std::max(other.heardAt, now - member.age);
+        if (member.instance != this->d->self && member.age < peerTtl) {
+            Private::PeerRecord &other = this->d->entryOf(member.instance);
+            other.lastSeenAt = std::max(other.lastSeenAt, now - member.age);
             other.strength = member.strength;
             other.dataCentre = member.dataCentre;
         }
     }
-    std::erase_if(this->d->known, [now](const auto &entry) { return now - entry.second.heardAt > memory; });
+    std::erase_if(this->d->known, [now](const auto &entry) { return now - entry.second.lastSeenAt > peerTtl; });
 }
 
-std::vector<DueReport> PeerDirectory::due(Millis now)
+std::vector<DueReport> PeerDirectory::takeDueReports(Millis now)
 {
     std::vector<DueReport> reports;
     const std::vector<InstanceId> &hubs = this->d->hubs(now);
     if (hubs.empty()) {
         for (const InstanceId &peer : this->peers()) {
-            reports.push_back({peer, !this->d->hasHeard});
+            reports.push_back({peer, !this->d->hasReceivedReport});
         }
         return reports;
     }
@@ -244,19 +248,19 @@
         return reports;
     }
     const bool isGone = std::find(hubs.begin(), hubs.end(), this->d->hub) == hubs.end();
-    if (isGone || this->d->unanswered >= mostUnanswered || this->d->shouldReturn(hubs)) {
+    if (isGone || this->d->unansweredReports >= maxUnansweredReports || this->d->shouldReturnToOwnDataCentre(hubs)) {
         this->d->hub = this->d->nextHub(hubs);
-        this->d->changes += 1;
-        this->d->unanswered = 0;
+        this->d->hubChanges += 1;
+        this->d->unansweredReports = 0;
         this->d->roundsAtHub = 0;
     }
     this->d->roundsAtHub += 1;
     reports.push_back({this->d->hub, true});
-    if (this->d->unanswered > 0 && hubs.size() > 1) {
+    if (this->d->unansweredReports > 0 && hubs.size() > 1) {
         // Where the hub is gone, the link to the next one is there once it is needed.
         reports.push_back({this->d->nextHub(hubs), true});
     }
-    this->d->unanswered += 1;
+    this->d->unansweredReports += 1;
     return reports;
 }
 
@@ -289,8 +293,8 @@
 bool PeerDirectory::comesBefore(const InstanceId &peer, Millis now) const
 {
     const std::vector<InstanceId> &hubs = this->d->hubs(now);
-    const auto place = std::find(hubs.begin(), hubs.end(), peer);
-    return place != hubs.end() && static_cast<std::size_t>(place - hubs.begin()) < this->d->selfRank;
+    const auto position = std::find(hubs.begin(), hubs.end(), peer);
+    return position != hubs.end() && static_cast<std::size_t>(position - hubs.begin()) < this->d->selfRank;
 }
 
 bool PeerDirectory::isHub(const InstanceId &peer) const
@@ -329,8 +333,8 @@
 {
     std::vector<GatewayMember> all;
     for (const auto &[peer, known] : this->d->known) {
-        if (now - known.heardAt < memberLife) {
-            all.push_back({peer, now - known.heardAt, known.strength, known.dataCentre});
+        if (now - known.lastSeenAt < memberTtl) {
+            all.push_back({peer, now - known.lastSeenAt, known.strength, known.dataCentre});
         }
     }
     return all;
@@ -339,10 +343,10 @@
 std::size_t PeerDirectory::fleetSize(Millis /*now*/) const
 {
     const std::size_t known = this->d->known.size() + 1;
-    return this->d->hasHeard ? known : std::max(known, unknownFleetSize);
+    return this->d->hasReceivedReport ? known : std::max(known, assumedFleetSize);
 }
 
-Millis PeerDirectory::newestFrom(const InstanceId &peer) const
+Millis PeerDirectory::newestReportFrom(const InstanceId &peer) const
 {
     const auto found = this->d->known.find(peer);
     return found != this->d->known.end() ? found->second.newestSentAt : Millis{0};
--- a/sequoiausher/coordination/gateway/peerdirectory.h
+++ b/sequoiausher/coordination/gateway/peerdirectory.h
@@ -11,8 +11,8 @@
 // between two lists costs a little freshness and nothing else.
 //
 //     PeerDirectory directory(self, seeds, seed);
-//     directory.heardFrom(peer, report, now);
-//     for (const DueReport &due : directory.due(now)) { send(due.peer, reportFor(due)); }
+//     directory.recordReport(peer, report, now);
+//     for (const DueReport &due : directory.takeDueReports(now)) { send(due.peer, reportFor(due)); }
 
 #include "sequoiausher/base/identifiers.h"
 #include "sequoiausher/base/millis.h"
@@ -48,10 +48,10 @@
     /** How much this gateway can carry beside its callers' requests, and where it stands. */
     void setSelf(std::uint16_t strength, const DataCentreId &dataCentre);
     /** A report arrived. */
-    void heardFrom(const InstanceId &peer, const GatewayReport &report, Millis now);
+    void recordReport(const InstanceId &peer, const GatewayReport &report, Millis now);
 
     /** To whom this round's reports go. */
-    std::vector<DueReport> due(Millis now);
+    std::vector<DueReport> takeDueReports(Millis now);
     /**
      * Whether the report is to be answered at once: it asks for it, or its sender has not heard of enough gateways to
      * know how large the fleet is, and so reports to everybody it knows or takes itself for a hub.
@@ -81,7 +81,7 @@
      */
     std::size_t fleetSize(Millis now) const;
     /** sentAt of the newest report from peer; 0 for none. */
-    Millis newestFrom(const InstanceId &peer) const;
+    Millis newestReportFrom(const InstanceId &peer) const;
 
 private:
     class Private;
--- a/sequoiausher/coordination/gateway/peerdirectorytest.cpp
+++ b/sequoiausher/coordination/gateway/peerdirectorytest.cpp
@@ -42,7 +42,7 @@
             if (this->dead.contains(i)) {
                 continue;
             }
-            for (const DueReport &due : this->directories[i].due(now)) {
+            for (const DueReport &due : this->directories[i].takeDueReports(now)) {
                 this->deliver(i, due.peer, due.wantsReply, now);
             }
         }
@@ -66,7 +66,7 @@
             report.members = this->directories[from].members(now);
         }
         PeerDirectory &receiver = this->directories[index->second];
-        receiver.heardFrom(nameOf(from), report, now);
+        receiver.recordReport(nameOf(from), report, now);
         if (receiver.mustReply(nameOf(from), report, now)) {
             this->deliver(index->second, nameOf(from), false, now, true);
         }
@@ -149,7 +149,7 @@
         fleet.round(now);
         for (std::size_t i = 0; i < 66; ++i) {
             for (const InstanceId &hub : fleet.directories[i].hubPeers()) {
-                newest[i] = std::max(newest[i], fleet.directories[i].newestFrom(hub));
+                newest[i] = std::max(newest[i], fleet.directories[i].newestReportFrom(hub));
             }
             if (!fleet.dead.contains(i)) {
                 CAPTURE(i);
@@ -185,13 +185,13 @@
     CHECK(directory.fleetSize(Millis{0}) == 12);
     GatewayReport report;
     report.sentAt = Millis{77};
-    directory.heardFrom(nameOf(1), report, Millis{1000});
-    directory.heardFrom(nameOf(2), report, Millis{1000});
+    directory.recordReport(nameOf(1), report, Millis{1000});
+    directory.recordReport(nameOf(2), report, Millis{1000});
     CHECK(directory.members(Millis{2000}).size() == 2);
-    CHECK(directory.newestFrom(nameOf(2)) == Millis{77});
+    CHECK(directory.newestReportFrom(nameOf(2)) == Millis{77});
     CHECK(directory.members(Millis{7000}).empty());
     CHECK(directory.fleetSize(Millis{7000}) == 3);
-    directory.heardFrom(nameOf(1), report, Millis{62000});
+    directory.recordReport(nameOf(1), report, Millis{62000});
     CHECK(directory.fleetSize(Millis{62000}) == 2);
     CHECK(directory.peers() == std::vector{nameOf(1)});
 }
@@ -214,7 +214,7 @@
             withHub.insert(dataCentreOf(i));
             continue;
         }
-        const std::vector<DueReport> due = fleet.directories[i].due(now);
+        const std::vector<DueReport> due = fleet.directories[i].takeDueReports(now);
         REQUIRE(due.size() == 1);
         others += 1;
         near += dataCentreOf(fleet.indexes.at(due.front().peer)) == dataCentreOf(i) ? 1 : 0;
@@ -234,12 +234,12 @@
     while (fleet.directories[gateway].isHub(now)) {
         gateway += 1;
     }
-    const InstanceId hub = fleet.directories[gateway].due(now).front().peer;
+    const InstanceId hub = fleet.directories[gateway].takeDueReports(now).front().peer;
     fleet.dead.insert(fleet.indexes.at(hub));
     std::set<InstanceId> asked;
     for (int round = 13; round <= 16; ++round) {
         fleet.round(Millis{round * 300});
-        for (const DueReport &due : fleet.directories[gateway].due(Millis{round * 300})) {
+        for (const DueReport &due : fleet.directories[gateway].takeDueReports(Millis{round * 300})) {
             asked.insert(due.peer);
         }
     }
@@ -248,7 +248,7 @@
     for (int round = 17; round <= 60; ++round) {
         fleet.round(Millis{round * 300});
     }
-    const InstanceId last = fleet.directories[gateway].due(Millis{61 * 300}).front().peer;
+    const InstanceId last = fleet.directories[gateway].takeDueReports(Millis{61 * 300}).front().peer;
     CHECK(last != hub);
     CHECK(fleet.directories[fleet.indexes.at(last)].isHub(Millis{61 * 300}));
 }
@@ -262,7 +262,7 @@
         report.sentAt = Millis{1000};
         report.strength = 10;
         report.dataCentre = DataCentreId{"busy"};
-        directory.heardFrom(nameOf(i), report, Millis{1000});
+        directory.recordReport(nameOf(i), report, Millis{1000});
     }
     CHECK(directory.hasHubs(Millis{1000}));
     CHECK_FALSE(directory.isHub(Millis{1000}));
--- a/sequoiausher/coordination/gateway/prefixdirectory.cpp
+++ b/sequoiausher/coordination/gateway/prefixdirectory.cpp
@@ -13,26 +13,26 @@
 namespace {
 
 /** A part in steady use is told again after this part of its life, so that peers do not forget it. */
-constexpr std::int64_t retellParts = 4;
+constexpr std::int64_t repeatTtlDivisor = 4;
 /** The most placements in one report; the rest waits for the next. */
-constexpr std::size_t mostNews = 256;
+constexpr std::size_t maxUpdatesPerReport = 256;
 /** News that are kept for peers that ask rarely; older ones are told again when they are a quarter of their life old.
  */
-constexpr std::size_t keptNews = 2048;
+constexpr std::size_t maxKeptUpdates = 2048;
 
-struct NewsItem
+struct PlacementUpdate
 {
     GatewayPlacement placement;
     InstanceId from;
-    NewsScope scope = NewsScope::Own;
+    UpdateScope scope = UpdateScope::Own;
 };
 
 struct Holder
 {
     TargetId target;
-    Millis usedAt;
+    Millis lastUsedAt;
     /** When peers last heard of it; absent before the first time. */
-    std::optional<Millis> toldAt;
+    std::optional<Millis> announcedAt;
 };
 
 struct Entry
@@ -46,36 +46,37 @@
 class PrefixDirectory::Private
 {
 public:
-    using Order = std::list<Entry>;
+    using EntryList = std::list<Entry>;
 
-    Entry &touch(std::uint64_t part)
+    Entry &findOrAdd(std::uint64_t part)
     {
-        const auto found = this->places.find(part);
-        if (found != this->places.end()) {
-            this->order.splice(this->order.begin(), this->order, found->second);
+        const auto found = this->entryOfPart.find(part);
+        if (found != this->entryOfPart.end()) {
+            this->entries.splice(this->entries.begin(), this->entries, found->second);
             return *found->second;
         }
-        this->order.push_front({part, {}});
-        this->places.emplace(part, this->order.begin());
-        if (this->places.size() > this->settings.mostParts) {
-            this->places.erase(this->order.back().part);
-            this->order.pop_back();
+        this->entries.push_front({part, {}});
+        this->entryOfPart.emplace(part, this->entries.begin());
+        if (this->entryOfPart.size() > this->settings.maxParts) {
+            this->entryOfPart.erase(this->entries.back().part);
+            this->entries.pop_back();
         }
-        return this->order.front();
+        return this->entries.front();
     }
 
     Holder &holderOf(Entry &entry, const TargetId &target, Millis now)
     {
-        std::erase_if(entry.holders, [this, now](const Holder &h) { return now - h.usedAt > this->settings.life; });
+        std::erase_if(entry.holders, [this, now](const Holder &h) { return now - h.lastUsedAt > this->settings.ttl; });
         const auto found = std::find_if(
             entry.holders.begin(), entry.holders.end(), [&target](const Holder &h) { return h.target == target; });
         if (found != entry.holders.end()) {
             return *found;
         }
-        if (entry.holders.size() >= this->settings.mostHolders) {
-            const auto oldest = std::min_element(entry.holders.begin(),
-                                                 entry.holders.end(),
-                                                 [](const Holder &a, const Holder &b) { return a.usedAt < b.usedAt; });
+        if (entry.holders.size() >= this->settings.maxHolders) {
+            const auto oldest
+                = std::min_element(entry.holders.begin(), entry.holders.end(), [](const Holder &a, const Holder &b) {
+                      return a.lastUsedAt < b.lastUsedAt;
+                  });
             entry.holders.erase(oldest);
         }
         return entry.holders.emplace_back(Holder{target, now, std::nullopt});
@@ -83,22 +84,22 @@
 
     PrefixDirectorySettings settings;
     /** The part that was asked for last stands first. */
-    Order order;
-    std::unordered_map<std::uint64_t, Order::iterator> places;
-    void tell(NewsItem item)
+    EntryList entries;
+    std::unordered_map<std::uint64_t, EntryList::iterator> entryOfPart;
+    void addUpdate(PlacementUpdate item)
     {
-        this->news.push_back(std::move(item));
-        if (this->news.size() > keptNews) {
-            this->news.pop_front();
-            this->firstNews += 1;
+        this->updates.push_back(std::move(item));
+        if (this->updates.size() > maxKeptUpdates) {
+            this->updates.pop_front();
+            this->firstUpdateNumber += 1;
         }
     }
 
-    std::deque<NewsItem> news;
+    std::deque<PlacementUpdate> updates;
     /** The number of the oldest item in news. */
-    std::uint64_t firstNews = 0;
+    std::uint64_t firstUpdateNumber = 0;
     /** The number of the next item for each peer. */
-    std::map<InstanceId, std::uint64_t> nextFor;
+    std::map<InstanceId, std::uint64_t> nextUpdateFor;
 };
 
 PrefixDirectory::PrefixDirectory(const PrefixDirectorySettings &settings) : d(std::make_unique<Private>())
@@ -108,36 +109,37 @@
 
 PrefixDirectory::~PrefixDirectory() = default;
 
-void PrefixDirectory::sent(std::uint64_t part, const TargetId &target, Millis now)
+void PrefixDirectory::recordSent(std::uint64_t part, const TargetId &target, Millis now)
 {
-    Holder &holder = this->d->holderOf(this->d->touch(part), target, now);
-    holder.usedAt = now;
-    const bool isNews = !holder.toldAt || now - *holder.toldAt > this->d->settings.life / retellParts;
-    if (isNews) {
-        holder.toldAt = now;
-        this->d->tell({{part, target}, {}, NewsScope::Own});
+    Holder &holder = this->d->holderOf(this->d->findOrAdd(part), target, now);
+    holder.lastUsedAt = now;
+    const bool isUpdateDue
+        = !holder.announcedAt || now - *holder.announcedAt > this->d->settings.ttl / repeatTtlDivisor;
+    if (isUpdateDue) {
+        holder.announcedAt = now;
+        this->d->addUpdate({{part, target}, {}, UpdateScope::Own});
     }
 }
 
-void PrefixDirectory::heard(const InstanceId &peer,
-                            std::uint64_t part,
-                            const TargetId &target,
-                            Millis now,
-                            NewsScope isPassedOn)
+void PrefixDirectory::recordPeerPlacement(const InstanceId &peer,
+                                          std::uint64_t part,
+                                          const TargetId &target,
+                                          Millis now,
+                                          UpdateScope scope)
 {
-    Holder &holder = this->d->holderOf(this->d->touch(part), target, now);
-    holder.usedAt = now;
+    Holder &holder = this->d->holderOf(this->d->findOrAdd(part), target, now);
+    holder.lastUsedAt = now;
     // Whoever told this told everybody, or this gateway does.
-    holder.toldAt = now;
-    if (isPassedOn != NewsScope::Own) {
-        this->d->tell({{part, target}, peer, isPassedOn});
+    holder.announcedAt = now;
+    if (scope != UpdateScope::Own) {
+        this->d->addUpdate({{part, target}, peer, scope});
     }
 }
 
-void PrefixDirectory::dropped(std::uint64_t part, const TargetId &target)
+void PrefixDirectory::removeHolder(std::uint64_t part, const TargetId &target)
 {
-    const auto found = this->d->places.find(part);
-    if (found != this->d->places.end()) {
+    const auto found = this->d->entryOfPart.find(part);
+    if (found != this->d->entryOfPart.end()) {
         std::erase_if(found->second->holders, [&target](const Holder &h) { return h.target == target; });
     }
 }
@@ -145,36 +147,36 @@
 std::vector<TargetId> PrefixDirectory::holders(std::uint64_t part, Millis now) const
 {
     std::vector<TargetId> targets;
-    const auto found = this->d->places.find(part);
-    if (found == this->d->places.end()) {
+    const auto found = this->d->entryOfPart.find(part);
+    if (found == this->d->entryOfPart.end()) {
         return targets;
     }
     for (const Holder &holder : found->second->holders) {
-        if (now - holder.usedAt <= this->d->settings.life) {
+        if (now - holder.lastUsedAt <= this->d->settings.ttl) {
             targets.push_back(holder.target);
         }
     }
     return targets;
 }
 
-std::vector<GatewayPlacement> PrefixDirectory::newsFor(const InstanceId &peer, NewsScope scope)
+std::vector<GatewayPlacement> PrefixDirectory::takeUpdates(const InstanceId &peer, UpdateScope scope)
 {
-    std::vector<GatewayPlacement> told;
-    std::uint64_t &next = this->d->nextFor[peer];
-    next = std::max(next, this->d->firstNews);
-    while (next < this->d->firstNews + this->d->news.size() && told.size() < mostNews) {
-        const NewsItem &item = this->d->news[next - this->d->firstNews];
+    std::vector<GatewayPlacement> due;
+    std::uint64_t &next = this->d->nextUpdateFor[peer];
+    next = std::max(next, this->d->firstUpdateNumber);
+    while (next < this->d->firstUpdateNumber + this->d->updates.size() && due.size() < maxUpdatesPerReport) {
+        const PlacementUpdate &item = this->d->updates[next - this->d->firstUpdateNumber];
         next += 1;
         if (item.scope <= scope && item.from != peer) {
-            told.push_back(item.placement);
+            due.push_back(item.placement);
         }
     }
-    return told;
+    return due;
 }
 
 std::size_t PrefixDirectory::size() const
 {
-    return this->d->places.size();
+    return this->d->entryOfPart.size();
 }
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/gateway/prefixdirectory.h
+++ b/sequoiausher/coordination/gateway/prefixdirectory.h
@@ -8,7 +8,7 @@
 //     directory.sent(part, target, now);                 // by this gateway
 //     directory.heard(part, target, now);                // by a peer
 //     for (const TargetId &target : directory.holders(part, now)) { ... }
-//     report.placements = directory.newsFor(peer, NewsScope::All);
+//     report.placements = directory.newsFor(peer, UpdateScope::All);
 
 #include "sequoiausher/base/identifiers.h"
 #include "sequoiausher/base/millis.h"
@@ -21,7 +21,7 @@
 namespace Sequoiausher {
 
 /** To whom news that was heard goes on. */
-enum class NewsScope {
+enum class UpdateScope {
     /** To nobody: whoever told it told everybody. */
     Own,
     /** A hub tells the other hubs what its own gateways told it. */
@@ -34,11 +34,11 @@
 struct PrefixDirectorySettings
 {
     /** A target has most likely dropped a part that nobody asked it for in so long. */
-    Millis life{60000};
+    Millis ttl{60000};
     /** Parts that are remembered, some 150 bytes each; beyond them the one asked for longest ago goes. */
-    std::size_t mostParts = 20000;
+    std::size_t maxParts = 20000;
     /** Targets that are remembered for each part: over so many a part in heavy use spreads. */
-    std::size_t mostHolders = 16;
+    std::size_t maxHolders = 16;
 };
 
 /** The directory. Not thread-safe. */
@@ -49,11 +49,15 @@
     ~PrefixDirectory();
 
     /** This gateway sends a request with the part to the target. */
-    void sent(std::uint64_t part, const TargetId &target, Millis now);
+    void recordSent(std::uint64_t part, const TargetId &target, Millis now);
     /** A peer did. @param isPassedOn by hubs: others are told of it too. */
-    void heard(const InstanceId &peer, std::uint64_t part, const TargetId &target, Millis now, NewsScope isPassedOn);
+    void recordPeerPlacement(const InstanceId &peer,
+                             std::uint64_t part,
+                             const TargetId &target,
+                             Millis now,
+                             UpdateScope scope);
     /** The part could not be read there. */
-    void dropped(std::uint64_t part, const TargetId &target);
+    void removeHolder(std::uint64_t part, const TargetId &target);
 
     /** The targets that have it, the first to have it first, so that all gateways prefer the same one. */
     std::vector<TargetId> holders(std::uint64_t part, Millis now) const;
@@ -63,7 +67,7 @@
      * own.
      * @param scope what of others' news the peer gets; a peer that asks for the first time is told what is still held.
      */
-    std::vector<GatewayPlacement> newsFor(const InstanceId &peer, NewsScope scope);
+    std::vector<GatewayPlacement> takeUpdates(const InstanceId &peer, UpdateScope scope);
     std::size_t size() const;
 
 private:
--- a/sequoiausher/coordination/gateway/promptparts.cpp
+++ b/sequoiausher/coordination/gateway/promptparts.cpp
@@ -10,7 +10,7 @@
  * Of a part that longer beginnings contain so many targets are remembered: it is in wide use, most targets have it, and
  * all that is asked of the directory is a sound one to copy from. Each more would be told to every gateway.
  */
-constexpr std::size_t mostSources = 3;
+constexpr std::size_t maxCopySources = 3;
 
 bool contains(const std::vector<TargetId> &targets, const TargetId &target)
 {
@@ -47,14 +47,14 @@
 }
 
 std::optional<GatewayTarget>
-PromptParts::copySource(const PrefixDirectory &directory, TargetBoard &board, const TargetId &to, Millis now) const
+PromptParts::findCopySource(const PrefixDirectory &directory, TargetBoard &board, const TargetId &to, Millis now) const
 {
     for (auto part = this->shared.rbegin(); part != this->shared.rend(); ++part) {
-        const std::vector<TargetId> holding = directory.holders(*part, now);
-        if (contains(holding, to)) {
+        const std::vector<TargetId> currentHolders = directory.holders(*part, now);
+        if (contains(currentHolders, to)) {
             return std::nullopt;
         }
-        std::optional<GatewayTarget> source = board.copySource(holding, now);
+        std::optional<GatewayTarget> source = board.findCopySource(currentHolders, now);
         if (source) {
             return source;
         }
@@ -62,12 +62,12 @@
     return std::nullopt;
 }
 
-void PromptParts::sent(PrefixDirectory &directory, const TargetId &to, Millis now) const
+void PromptParts::recordSent(PrefixDirectory &directory, const TargetId &to, Millis now) const
 {
     for (const std::uint64_t part : this->shared) {
-        const std::vector<TargetId> holding = directory.holders(part, now);
-        if (part == this->shared.back() || holding.size() < mostSources || contains(holding, to)) {
-            directory.sent(part, to, now);
+        const std::vector<TargetId> currentHolders = directory.holders(part, now);
+        if (part == this->shared.back() || currentHolders.size() < maxCopySources || contains(currentHolders, to)) {
+            directory.recordSent(part, to, now);
         }
     }
 }
--- a/sequoiausher/coordination/gateway/promptparts.h
+++ b/sequoiausher/coordination/gateway/promptparts.h
@@ -5,8 +5,8 @@
 //
 //     const PromptParts parts({hash64("system"), hash64("manual"), hash64("own question")});
 //     criteria.holders = parts.holders(directory, now);
-//     if (const auto source = parts.copySource(directory, board, target, now)) { order.copyFrom = source->address; }
-//     parts.sent(directory, target, now);
+//     if (const auto source = parts.findCopySource(directory, board, target, now)) { order.copyFrom = source->address;
+//     } parts.sent(directory, target, now);
 
 #include "sequoiausher/coordination/gateway/prefixdirectory.h"
 #include "sequoiausher/coordination/gateway/targetboard.h"
@@ -39,9 +39,9 @@
      * takes 18.
      */
     std::optional<GatewayTarget>
-    copySource(const PrefixDirectory &directory, TargetBoard &board, const TargetId &to, Millis now) const;
+    findCopySource(const PrefixDirectory &directory, TargetBoard &board, const TargetId &to, Millis now) const;
     /** The prompt goes to the target, which will have its shared parts. */
-    void sent(PrefixDirectory &directory, const TargetId &to, Millis now) const;
+    void recordSent(PrefixDirectory &directory, const TargetId &to, Millis now) const;
 
 private:
     std::vector<std::uint64_t> shared;
--- a/sequoiausher/coordination/gateway/promptpartstest.cpp
+++ b/sequoiausher/coordination/gateway/promptpartstest.cpp
@@ -29,7 +29,7 @@
 
     std::string source(const PromptParts &parts, const TargetId &to)
     {
-        const auto found = parts.copySource(this->directory, this->board, to, now);
+        const auto found = parts.findCopySource(this->directory, this->board, to, now);
         return found ? found->address : "";
     }
 
@@ -55,21 +55,21 @@
     Fleet fleet;
     const PromptParts parts({1, 2, 3});
     CHECK(fleet.source(parts, one).empty());
-    parts.sent(fleet.directory, one, now);
+    parts.recordSent(fleet.directory, one, now);
     CHECK(fleet.source(parts, one).empty());
     CHECK(fleet.source(parts, two) == "t1:80");
     SUBCASE("the least busy of several")
     {
-        parts.sent(fleet.directory, two, now);
-        fleet.board.started(one);
+        parts.recordSent(fleet.directory, two, now);
+        fleet.board.recordStart(one);
         CHECK(fleet.source(parts, three) == "t2:80");
     }
     SUBCASE("not from one that gives no answers, or is gone")
     {
-        fleet.board.started(one);
-        fleet.board.started(one);
-        fleet.board.ended(one, AttemptMark::Lost, now);
-        fleet.board.ended(one, AttemptMark::Lost, now);
+        fleet.board.recordStart(one);
+        fleet.board.recordStart(one);
+        fleet.board.recordEnd(one, TargetOutcome::Lost, now);
+        fleet.board.recordEnd(one, TargetOutcome::Lost, now);
         CHECK(fleet.source(parts, two).empty());
         fleet.board.setTargets({target(two), target(three)}, now);
         CHECK(fleet.source(parts, two).empty());
@@ -79,7 +79,7 @@
         const PromptParts other({1, 9, 4});
         CHECK(fleet.source(other, two) == "t1:80");
         CHECK(fleet.source(other, one).empty());
-        PromptParts({1, 9, 5}).sent(fleet.directory, two, now);
+        PromptParts({1, 9, 5}).recordSent(fleet.directory, two, now);
         CHECK(fleet.source(other, one) == "t2:80");
     }
 }
@@ -88,8 +88,8 @@
 {
     Fleet fleet;
     for (std::uint64_t i = 0; i < 5; ++i) {
-        PromptParts({1, 100 + i, 0}).sent(fleet.directory, TargetId{"t" + std::to_string(i)}, now);
-        PromptParts({50, 60, 0}).sent(fleet.directory, TargetId{"t" + std::to_string(i)}, now);
+        PromptParts({1, 100 + i, 0}).recordSent(fleet.directory, TargetId{"t" + std::to_string(i)}, now);
+        PromptParts({50, 60, 0}).recordSent(fleet.directory, TargetId{"t" + std::to_string(i)}, now);
     }
     CHECK(fleet.directory.holders(1, now).size() == 3);
     CHECK(fleet.directory.holders(60, now).size() == 5);
--- a/sequoiausher/coordination/gateway/requestquarantine.cpp
+++ b/sequoiausher/coordination/gateway/requestquarantine.cpp
@@ -22,7 +22,7 @@
     Millis endedAt;
     Millis learntAt;
     InstanceId from;
-    NewsScope scope = NewsScope::Own;
+    UpdateScope scope = UpdateScope::Own;
 };
 
 struct Suspect
@@ -33,7 +33,7 @@
     std::optional<Millis> answeredAt;
     Millis answerLearntAt;
     InstanceId answerFrom;
-    NewsScope answerScope = NewsScope::Own;
+    UpdateScope answerScope = UpdateScope::Own;
     bool isRefused = false;
 };
 
@@ -82,7 +82,7 @@
     void blame(const RequestFingerprint &request, Crash crash, Millis now);
     /** Decides on those that were blamed since. @return the ones that are refused from now on. */
     std::vector<RequestFingerprint> decide();
-    void acquit(const RequestFingerprint &request, Millis at, Millis now, const InstanceId &from, NewsScope scope);
+    void acquit(const RequestFingerprint &request, Millis at, Millis now, const InstanceId &from, UpdateScope scope);
     bool isCulprit(const RequestFingerprint &request, const Suspect &suspect) const;
     /** Lets those go that were refused for targets which ended under this one, and fewer. */
     void releaseBeside(const RequestFingerprint &request, const Suspect &culprit);
@@ -132,7 +132,7 @@
     });
     this->d->expire(now);
     for (const Loss &loss : known) {
-        this->d->blame(loss.request, {target, loss.sentAt, loss.at, now, {}, NewsScope::Own}, now);
+        this->d->blame(loss.request, {target, loss.sentAt, loss.at, now, {}, UpdateScope::Own}, now);
     }
     return this->d->decide();
 }
@@ -172,11 +172,13 @@
         }
         this->d->answerOrder.pop_front();
     }
-    this->d->acquit(request, now, now, {}, NewsScope::Own);
+    this->d->acquit(request, now, now, {}, UpdateScope::Own);
 }
 
-std::vector<RequestFingerprint>
-RequestQuarantine::heard(const InstanceId &peer, const std::vector<GatewayCrash> &crashes, Millis now, NewsScope scope)
+std::vector<RequestFingerprint> RequestQuarantine::heard(const InstanceId &peer,
+                                                         const std::vector<GatewayCrash> &crashes,
+                                                         Millis now,
+                                                         UpdateScope scope)
 {
     this->d->expire(now);
     for (const GatewayCrash &crash : crashes) {
@@ -265,7 +267,7 @@
                                         Millis at,
                                         Millis now,
                                         const InstanceId &from,
-                                        NewsScope scope)
+                                        UpdateScope scope)
 {
     const auto found = this->suspects.find(request);
     if (found == this->suspects.end() || (found->second.answeredAt && *found->second.answeredAt >= at)) {
@@ -313,7 +315,7 @@
     for (const Loss &loss : this->losses) {
         const bool isOpen = !loss.targetLives && now - loss.at <= this->settings.verdictTime;
         if (loss.request == request && isOpen && !hasEnded(suspect, loss.target)) {
-            suspect.crashes.push_back({loss.target, loss.sentAt, loss.at, loss.at, {}, NewsScope::Own});
+            suspect.crashes.push_back({loss.target, loss.sentAt, loss.at, loss.at, {}, UpdateScope::Own});
         }
     }
     return suspect;
@@ -348,11 +350,11 @@
     std::erase_if(this->losses, [this, now](const Loss &loss) { return now - loss.at > this->settings.lossLife; });
 }
 
-std::vector<GatewayCrash> RequestQuarantine::newsFor(const InstanceId &peer, NewsScope scope, Millis now)
+std::vector<GatewayCrash> RequestQuarantine::newsFor(const InstanceId &peer, UpdateScope scope, Millis now)
 {
     std::vector<std::pair<std::size_t, GatewayCrash>> news;
     const bool tellsAll = this->d->reports[peer]++ % retellEvery == 0;
-    const auto isNews = [this, &peer, scope, now](Millis learntAt, const InstanceId &from, NewsScope own) {
+    const auto isNews = [this, &peer, scope, now](Millis learntAt, const InstanceId &from, UpdateScope own) {
         return now - learntAt <= this->d->settings.toldFor && own <= scope && from != peer;
     };
     for (const auto &[request, suspect] : this->d->suspects) {
--- a/sequoiausher/coordination/gateway/requestquarantine.h
+++ b/sequoiausher/coordination/gateway/requestquarantine.h
@@ -7,7 +7,7 @@
 //     quarantine.lost(fingerprint, target, sentAt, now);
 //     quarantine.targetEnded(target, now);
 //     const std::optional<Millis> wait = quarantine.refusedFor(fingerprint, now);
-//     report.crashes = quarantine.newsFor(peer, NewsScope::All, now);
+//     report.crashes = quarantine.newsFor(peer, UpdateScope::All, now);
 
 #include "sequoiausher/base/identifiers.h"
 #include "sequoiausher/base/millis.h"
@@ -74,9 +74,9 @@
 
     /** A peer told of these. @param scope as for PrefixDirectory. @return the requests that are refused from now on. */
     std::vector<RequestFingerprint>
-    heard(const InstanceId &peer, const std::vector<GatewayCrash> &crashes, Millis now, NewsScope scope);
+    heard(const InstanceId &peer, const std::vector<GatewayCrash> &crashes, Millis now, UpdateScope scope);
     /** What peer should hear: what is new, and from time to time all that is refused. */
-    std::vector<GatewayCrash> newsFor(const InstanceId &peer, NewsScope scope, Millis now);
+    std::vector<GatewayCrash> newsFor(const InstanceId &peer, UpdateScope scope, Millis now);
 
     /**
      * How long the request is refused if nobody asks for it meanwhile; none where it may be sent. For a moment also
--- a/sequoiausher/coordination/gateway/requestquarantinetest.cpp
+++ b/sequoiausher/coordination/gateway/requestquarantinetest.cpp
@@ -50,20 +50,20 @@
         return from < this->hubs ? to % this->hubs == from : from % this->hubs == to;
     }
 
-    NewsScope scopeOf(std::size_t from, std::size_t to) const
+    UpdateScope scopeOf(std::size_t from, std::size_t to) const
     {
         if (this->hubs == 0 || from >= this->hubs) {
-            return NewsScope::Own;
+            return UpdateScope::Own;
         }
-        return to < this->hubs ? NewsScope::Group : NewsScope::All;
+        return to < this->hubs ? UpdateScope::Group : UpdateScope::All;
     }
 
-    NewsScope heardAs(std::size_t from, std::size_t at) const
+    UpdateScope heardAs(std::size_t from, std::size_t at) const
     {
         if (this->hubs == 0 || at >= this->hubs) {
-            return NewsScope::Own;
+            return UpdateScope::Own;
         }
-        return from < this->hubs ? NewsScope::All : NewsScope::Group;
+        return from < this->hubs ? UpdateScope::All : UpdateScope::Group;
     }
 
     static InstanceId name(std::size_t gateway)
@@ -240,7 +240,7 @@
     SUBCASE("at a peer")
     {
         quarantine.heard(
-            {"g2"}, {{innocent.caller, innocent.content, {}, Millis{500}, Millis{0}}}, Millis{3000}, NewsScope::Own);
+            {"g2"}, {{innocent.caller, innocent.content, {}, Millis{500}, Millis{0}}}, Millis{3000}, UpdateScope::Own);
     }
     CHECK(quarantine.mayRetry(innocent, Millis{3000}));
     CHECK(crash(quarantine, innocent, 3, Millis{4000}).empty());
@@ -256,8 +256,8 @@
     for (int i = 0; i < 3; ++i) {
         blame.push_back({innocent.caller, innocent.content, target(i), Millis{4000 - i * 1000}, runTime});
     }
-    CHECK(quarantine.heard({"g2"}, blame, Millis{4500}, NewsScope::Own).empty());
-    const std::vector<GatewayCrash> news = quarantine.newsFor({"g2"}, NewsScope::Own, Millis{4600});
+    CHECK(quarantine.heard({"g2"}, blame, Millis{4500}, UpdateScope::Own).empty());
+    const std::vector<GatewayCrash> news = quarantine.newsFor({"g2"}, UpdateScope::Own, Millis{4600});
     REQUIRE(news.size() == 1);
     CHECK(news[0].target.value.empty());
     CHECK(news[0].age == Millis{3600});
@@ -293,7 +293,7 @@
     }
     CHECK(quarantine.refusedCount() == 1);
     CHECK(quarantine.refusedFor(culprit, Millis{9000}));
-    CHECK(quarantine.newsFor({"g2"}, NewsScope::All, Millis{9000}).size() <= 256);
+    CHECK(quarantine.newsFor({"g2"}, UpdateScope::All, Millis{9000}).size() <= 256);
 }
 
 // Guards against a loss of many targets that fills reports and keeps a request that crashes targets out of them.
@@ -306,7 +306,7 @@
     }
     crash(quarantine, last, 1000, Millis{1000});
     crash(quarantine, last, 1001, Millis{1200});
-    const std::vector<GatewayCrash> news = quarantine.newsFor({"g2"}, NewsScope::Own, Millis{1300});
+    const std::vector<GatewayCrash> news = quarantine.newsFor({"g2"}, UpdateScope::Own, Millis{1300});
     CHECK(news.size() == 256);
     REQUIRE(news.size() > 2);
     CHECK(news[0].caller == last.caller);
@@ -321,7 +321,7 @@
             {"g2"},
             {{1, 2, target(i), Millis::never(), Millis::never()}, {1, 3, target(i), Millis{-5}, Millis{-9}}},
             Millis{1000},
-            NewsScope::All);
+            UpdateScope::All);
     }
     CHECK_FALSE(quarantine.refusedFor({1, 2}, Millis{1000}));
     CHECK_FALSE(quarantine.refusedFor({1, 3}, Millis{1000}));
--- a/sequoiausher/coordination/gateway/restoredstore.cpp
+++ b/sequoiausher/coordination/gateway/restoredstore.cpp
@@ -2,23 +2,23 @@
 
 namespace Sequoiausher {
 
-void RestoredStore::returned(Revision newest, Millis now)
+void RestoredStore::recordReturn(Revision newestVersion, Millis now)
 {
     this->returnedAt = now;
-    this->newestBefore = newest;
-    this->copied.reset();
+    this->newestBeforeReturn = newestVersion;
+    this->copyWrittenAt.reset();
 }
 
-bool RestoredStore::proves(Revision version, Revision writtenAt, Millis now)
+bool RestoredStore::provesNothingNewer(Revision version, Revision writtenAt, Millis now)
 {
-    if (!this->returnedAt || version > this->newestBefore) {
+    if (!this->returnedAt || version > this->newestBeforeReturn) {
         return true;
     }
-    this->copied = this->copied.value_or(writtenAt);
-    if (version < this->newestBefore) {
+    this->copyWrittenAt = this->copyWrittenAt.value_or(writtenAt);
+    if (version < this->newestBeforeReturn) {
         return false;
     }
-    return writtenAt != *this->copied || now >= *this->returnedAt + rewriteTime;
+    return writtenAt != *this->copyWrittenAt || now >= *this->returnedAt + rewriteTime;
 }
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/gateway/restoredstore.h
+++ b/sequoiausher/coordination/gateway/restoredstore.h
@@ -23,15 +23,15 @@
 {
 public:
     /** @param newest the newest version that was known to be published before. */
-    void returned(Revision newest, Millis now);
+    void recordReturn(Revision newestVersion, Millis now);
     /** @param writtenAt the store's position at which the version was written. */
-    bool proves(Revision version, Revision writtenAt, Millis now);
+    bool provesNothingNewer(Revision version, Revision writtenAt, Millis now);
 
 private:
     std::optional<Millis> returnedAt;
-    Revision newestBefore = 0;
+    Revision newestBeforeReturn = 0;
     /** Where the first reading after the return said that its version was written. */
-    std::optional<Revision> copied;
+    std::optional<Revision> copyWrittenAt;
 };
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/gateway/routetable.cpp
+++ b/sequoiausher/coordination/gateway/routetable.cpp
@@ -11,11 +11,12 @@
 namespace {
 
 /** The host in lower case without its port. */
-std::string plainHost(std::string_view host)
+std::string normaliseHost(std::string_view host)
 {
-    std::string plain(host.substr(0, host.find(':')));
-    std::transform(plain.begin(), plain.end(), plain.begin(), [](unsigned char c) { return std::tolower(c); });
-    return plain;
+    std::string normalised(host.substr(0, host.find(':')));
+    std::transform(
+        normalised.begin(), normalised.end(), normalised.begin(), [](unsigned char c) { return std::tolower(c); });
+    return normalised;
 }
 
 } // namespace
@@ -23,10 +24,10 @@
 class RouteTable::Private
 {
 public:
-    explicit Private(GatewayConfiguration with) : configuration(std::move(with))
+    explicit Private(GatewayConfiguration newConfiguration) : configuration(std::move(newConfiguration))
     {
         for (const GatewayRoute &route : this->configuration.routes) {
-            this->byHost[plainHost(route.host)].emplace(route.pathPrefix, &route);
+            this->byHost[normaliseHost(route.host)].emplace(route.pathPrefix, &route);
         }
         for (const GatewayOrganisation &organisation : this->configuration.organisations) {
             for (const std::string &key : organisation.keys) {
@@ -59,7 +60,7 @@
 
 const GatewayRoute *RouteTable::find(std::string_view host, std::string_view target) const
 {
-    const auto routes = this->d->byHost.find(plainHost(host));
+    const auto routes = this->d->byHost.find(normaliseHost(host));
     if (routes == this->d->byHost.end()) {
         return nullptr;
     }
@@ -93,18 +94,18 @@
     return found != this->d->byName.end() ? found->second : nullptr;
 }
 
-const PoolId &RouteTable::serviceFor(const GatewayRoute &route, std::uint64_t hash)
+const PoolId &RouteTable::chooseService(const GatewayRoute &route, std::uint64_t hash)
 {
     std::uint64_t total = 0;
     for (const ServiceShare &share : route.services) {
         total += share.weight;
     }
-    std::uint64_t place = total > 0 ? hash % total : 0;
+    std::uint64_t position = total > 0 ? hash % total : 0;
     for (const ServiceShare &share : route.services) {
-        if (place < share.weight) {
+        if (position < share.weight) {
             return share.service;
         }
-        place -= share.weight;
+        position -= share.weight;
     }
     return route.services.front().service;
 }
--- a/sequoiausher/coordination/gateway/routetable.h
+++ b/sequoiausher/coordination/gateway/routetable.h
@@ -37,7 +37,7 @@
     const GatewayService *service(const PoolId &name) const;
 
     /** Which of the route's services takes the request, by their weights; the same for the same hash. */
-    static const PoolId &serviceFor(const GatewayRoute &route, std::uint64_t hash);
+    static const PoolId &chooseService(const GatewayRoute &route, std::uint64_t hash);
 
 private:
     class Private;
--- a/sequoiausher/coordination/gateway/routetabletest.cpp
+++ b/sequoiausher/coordination/gateway/routetabletest.cpp
@@ -55,7 +55,7 @@
     const GatewayRoute route = routeOf("r", "h", "/");
     std::map<std::string, int> counts;
     for (std::uint64_t hash = 0; hash < 1000; ++hash) {
-        counts[RouteTable::serviceFor(route, hash).value] += 1;
+        counts[RouteTable::chooseService(route, hash).value] += 1;
     }
     CHECK(counts["a"] == 900);
     CHECK(counts["b"] == 100);
--- a/sequoiausher/coordination/gateway/storeduty.cpp
+++ b/sequoiausher/coordination/gateway/storeduty.cpp
@@ -9,28 +9,28 @@
 namespace {
 
 /** A gateway whom the store has not told of targets for so long hears of them from its peers. */
-constexpr Millis storeIsSilent{1500};
+constexpr Millis storeAnswerTtl{1500};
 /** After its first reading a gateway gives its peers so long to be found: four rounds of reports. */
-constexpr Millis startRest{1200};
+constexpr Millis startupFollowTime{1200};
 /** What two rounds of reports between hubs take, one of them late. */
-constexpr Millis hubRounds{700};
+constexpr Millis twoHubRoundsTime{700};
 /** How much later the other hubs try than the second one: a round, in which they hear that it reads. */
-constexpr Millis hubRound{300};
+constexpr Millis hubRoundTime{300};
 /** The part of the leave bound that each step from the store to a gateway may add, five of them with the last report.
  */
-constexpr std::int64_t leaveParts = 5;
+constexpr std::int64_t leaveBoundDivisor = 5;
 /** The first hub's knowledge is younger than this part of the leave bound. */
-constexpr std::int64_t proofParts = 8;
+constexpr std::int64_t firstHubProofDivisor = 8;
 /** A proof is asked for by who rests once two fifths of the time are over in which it opens routes. */
-constexpr std::int64_t oldProofParts = 2;
-constexpr std::int64_t oldProofPartsOf = 5;
+constexpr std::int64_t followerProofNumerator = 2;
+constexpr std::int64_t followerProofDenominator = 5;
 /** A fleet shall call a store that does not answer some ten times a second in all. */
-constexpr Millis storePauseOfEach{100};
-constexpr Millis shortestTurns{1200};
+constexpr Millis storePausePerGateway{100};
+constexpr Millis minRetrySpread{1200};
 /** A gateway that alone reaches the store, or alone lost its peers, must hear of a target that leaves in time. */
-constexpr Millis longestStorePauseOfAny{4000};
+constexpr Millis maxStorePause{4000};
 /** Claims that wait for the list; in a storm of changes the oldest ones tell least. */
-constexpr std::size_t mostAhead = 32;
+constexpr std::size_t maxPendingClaims = 32;
 
 Millis ageOf(Millis at, Millis now)
 {
@@ -39,161 +39,163 @@
 
 } // namespace
 
-StoreDuty::StoreDuty(const StoreDutySettings &with, std::uint64_t seed) : settings(with)
+StoreDuty::StoreDuty(const StoreDutySettings &newSettings, std::uint64_t seed) : settings(newSettings)
 {
     std::mt19937_64 random(seed);
-    this->place = std::uniform_real_distribution<double>(0, 1)(random);
+    this->retryOrder = std::uniform_real_distribution<double>(0, 1)(random);
 }
 
-void StoreDuty::setSettings(const StoreDutySettings &with)
+void StoreDuty::setSettings(const StoreDutySettings &newSettings)
 {
-    this->settings = with;
+    this->settings = newSettings;
 }
 
-void StoreDuty::answered(Millis at)
+void StoreDuty::recordStoreAnswer(Millis at)
 {
-    this->answeredAt = std::max(this->answeredAt, at);
+    this->storeAnsweredAt = std::max(this->storeAnsweredAt, at);
 }
 
-void StoreDuty::storeWasAt(Revision revision, Millis at)
+void StoreDuty::recordStoreRevision(Revision revision, Millis at)
 {
-    this->take({revision, at, Source::Store});
+    this->addClaim({revision, at, Source::Store});
 }
 
-void StoreDuty::listReached(Revision revision)
+void StoreDuty::recordListRevision(Revision revision)
 {
-    this->listed = std::max(this->listed, revision);
-    std::erase_if(this->ahead, [this](const Claim &claim) {
-        const bool isReached = claim.revision <= this->listed;
+    this->listRevision = std::max(this->listRevision, revision);
+    std::erase_if(this->pendingClaims, [this](const Claim &claim) {
+        const bool isReached = claim.revision <= this->listRevision;
         if (isReached) {
-            this->believe(claim);
+            this->applyClaim(claim);
         }
         return isReached;
     });
 }
 
-void StoreDuty::take(const Claim &claim)
+void StoreDuty::addClaim(const Claim &claim)
 {
-    if (claim.revision <= this->listed) {
-        this->believe(claim);
+    if (claim.revision <= this->listRevision) {
+        this->applyClaim(claim);
         return;
     }
-    this->ahead.push_back(claim);
-    if (this->ahead.size() > mostAhead) {
-        this->ahead.pop_front();
+    this->pendingClaims.push_back(claim);
+    if (this->pendingClaims.size() > maxPendingClaims) {
+        this->pendingClaims.pop_front();
     }
 }
 
-void StoreDuty::believe(const Claim &claim)
+void StoreDuty::applyClaim(const Claim &claim)
 {
     if (claim.source == Source::Store) {
-        this->answered(claim.at);
+        this->recordStoreAnswer(claim.at);
         return;
     }
-    this->knownAt = std::max(this->knownAt, claim.at);
-    if (claim.source == Source::BetterHub) {
-        this->knownByBetterAt = std::max(this->knownByBetterAt, claim.at);
+    this->knownByPeersAt = std::max(this->knownByPeersAt, claim.at);
+    if (claim.source == Source::EarlierHub) {
+        this->knownByEarlierHubAt = std::max(this->knownByEarlierHubAt, claim.at);
     }
 }
 
-void StoreDuty::readAll(Millis at)
+void StoreDuty::recordFirstFullRead(Millis at)
 {
-    if (this->readAllAt == Millis{0}) {
-        this->readAllAt = at;
+    if (this->firstFullReadAt == Millis{0}) {
+        this->firstFullReadAt = at;
     }
 }
 
-void StoreDuty::heard(const StoreWord &word, Millis now)
+void StoreDuty::recordPeerReport(const PeerStoreReport &report, Millis now)
 {
-    if (word.echo == Millis{0} || word.echo > now) {
+    if (report.echo == Millis{0} || report.echo > now) {
         return;
     }
-    if (word.isFromHub) {
-        this->hubHeardAt = std::max(this->hubHeardAt, word.echo);
+    if (report.isFromHub) {
+        this->hubContactAt = std::max(this->hubContactAt, report.echo);
     }
-    const bool isTold = word.isFromHub || word.isFirstHand;
-    if (!isTold || word.age >= word.echo) {
+    const bool isShareable = report.isFromHub || report.readsStore;
+    if (!isShareable || report.age >= report.echo) {
         return;
     }
-    const bool isBetter = word.isFromHub && word.isFirstHand && word.comesBefore;
-    this->take({word.revision, word.echo - word.age, isBetter ? Source::BetterHub : Source::Peer});
+    const bool isFromEarlierHub = report.isFromHub && report.readsStore && report.comesBefore;
+    this->addClaim({report.revision, report.echo - report.age, isFromEarlierHub ? Source::EarlierHub : Source::Peer});
 }
 
-Millis StoreDuty::firstHubPatience() const
+Millis StoreDuty::secondHubMaxAge() const
 {
-    return hubRounds + this->settings.leaveBound / leaveParts;
+    return twoHubRoundsTime + this->settings.leaveBound / leaveBoundDivisor;
 }
 
-Millis StoreDuty::hubPatience() const
+Millis StoreDuty::otherHubMaxAge() const
 {
-    return this->firstHubPatience() + hubRound;
+    return this->secondHubMaxAge() + hubRoundTime;
 }
 
-Millis StoreDuty::patience() const
+Millis StoreDuty::followerMaxAge() const
 {
-    return this->hubPatience() + this->settings.leaveBound / leaveParts;
+    return this->otherHubMaxAge() + this->settings.leaveBound / leaveBoundDivisor;
 }
 
-Millis StoreDuty::turn(const StoreRole &role) const
+Millis StoreDuty::retryDelay(const StoreRole &role) const
 {
-    const Millis all = std::max(storePauseOfEach * static_cast<std::int64_t>(role.fleetSize), shortestTurns);
-    return Millis{std::llround(static_cast<double>(all.count) * this->place)};
+    const Millis retrySpread
+        = std::max(storePausePerGateway * static_cast<std::int64_t>(role.fleetSize), minRetrySpread);
+    return Millis{std::llround(static_cast<double>(retrySpread.count) * this->retryOrder)};
 }
 
-bool StoreDuty::isHubInTouch(Millis now) const
+bool StoreDuty::hasHubContact(Millis now) const
 {
-    return ageOf(this->hubHeardAt, now) < this->patience();
+    return ageOf(this->hubContactAt, now) < this->followerMaxAge();
 }
 
-bool StoreDuty::mayRest(const StoreRole &role, Millis now) const
+bool StoreDuty::mayFollowPeers(const StoreRole &role, Millis now) const
 {
     if (!role.hasHubs) {
-        return role.hasPeers && ageOf(this->readAllAt, now) < startRest;
+        return role.hasPeers && ageOf(this->firstFullReadAt, now) < startupFollowTime;
     }
     if (role.hubRank) {
-        const Millis known = std::max(this->knownByBetterAt, this->readAllAt);
+        const Millis known = std::max(this->knownByEarlierHubAt, this->firstFullReadAt);
         return *role.hubRank > 0
-            && ageOf(known, now) < (*role.hubRank == 1 ? this->firstHubPatience() : this->hubPatience());
+            && ageOf(known, now) < (*role.hubRank == 1 ? this->secondHubMaxAge() : this->otherHubMaxAge());
     }
-    const Millis age = ageOf(std::max(this->knownAt, this->readAllAt), now);
+    const Millis age = ageOf(std::max(this->knownByPeersAt, this->firstFullReadAt), now);
     // A hub that is in touch and knows nothing tries itself, and so do the others: all at once would not help it.
-    return age < this->patience() || (this->isHubInTouch(now) && age < this->patience() + this->turn(role));
+    return age < this->followerMaxAge()
+        || (this->hasHubContact(now) && age < this->followerMaxAge() + this->retryDelay(role));
 }
 
-bool StoreDuty::isFirstHand(Millis now) const
+bool StoreDuty::hasRecentStoreAnswer(Millis now) const
 {
-    return ageOf(this->answeredAt, now) < storeIsSilent;
+    return ageOf(this->storeAnsweredAt, now) < storeAnswerTtl;
 }
 
 Millis StoreDuty::knowledgeAge(Millis now) const
 {
-    return std::min(ageOf(this->answeredAt, now), ageOf(this->knownAt, now));
+    return std::min(ageOf(this->storeAnsweredAt, now), ageOf(this->knownByPeersAt, now));
 }
 
-bool StoreDuty::mayTell(Millis now) const
+bool StoreDuty::mayShareKnowledge(Millis now) const
 {
-    return this->knowledgeAge(now) < this->patience();
+    return this->knowledgeAge(now) < this->followerMaxAge();
 }
 
-Millis StoreDuty::longestProofAge(const StoreRole &role, Millis now) const
+Millis StoreDuty::maxProofAge(const StoreRole &role, Millis now) const
 {
-    if (!role.hasHubs && !this->mayRest(role, now)) {
+    if (!role.hasHubs && !this->mayFollowPeers(role, now)) {
         return this->settings.proofInterval;
     }
-    if (!this->mayRest(role, now)) {
-        return std::min(this->settings.proofInterval, this->settings.leaveBound / proofParts);
+    if (!this->mayFollowPeers(role, now)) {
+        return std::min(this->settings.proofInterval, this->settings.leaveBound / firstHubProofDivisor);
     }
-    const Millis old = this->settings.keyFreshness * oldProofParts / oldProofPartsOf;
-    return this->isHubInTouch(now) ? old + this->turn(role) : old;
+    const Millis followerProofAge = this->settings.keyFreshness * followerProofNumerator / followerProofDenominator;
+    return this->hasHubContact(now) ? followerProofAge + this->retryDelay(role) : followerProofAge;
 }
 
-Millis StoreDuty::longestPause(const StoreRole &role) const
+Millis StoreDuty::maxRetryPause(const StoreRole &role) const
 {
     if (!role.hasHubs || role.hubRank) {
-        return usualStorePause;
+        return baseStorePause;
     }
-    const Millis shared = storePauseOfEach * static_cast<std::int64_t>(role.fleetSize);
-    return std::clamp(shared, usualStorePause, longestStorePauseOfAny);
+    const Millis fleetPause = storePausePerGateway * static_cast<std::int64_t>(role.fleetSize);
+    return std::clamp(fleetPause, baseStorePause, maxStorePause);
 }
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/gateway/storeduty.h
+++ b/sequoiausher/coordination/gateway/storeduty.h
@@ -13,8 +13,8 @@
 //
 //     StoreDuty duty(settings, seed);
 //     duty.heard({report.storeAge, report.echo, isFromHub, isFirstHand, comesBefore, report.targets}, now);
-//     duty.listReached(list.revision());
-//     watcher.setResting(duty.mayRest(role, now));
+//     duty.recordListRevision(list.revision());
+//     watcher.setResting(duty.mayFollowPeers(role, now));
 
 #include "sequoiausher/base/identifiers.h"
 #include "sequoiausher/base/millis.h"
@@ -38,7 +38,7 @@
 };
 
 /** What a peer's report says of the store. */
-struct StoreWord
+struct PeerStoreReport
 {
     /** How old the sender's knowledge is; never() where it has none. */
     Millis age = Millis::never();
@@ -46,7 +46,7 @@
     Millis echo;
     bool isFromHub = false;
     /** The sender reads the store itself. */
-    bool isFirstHand = false;
+    bool readsStore = false;
     /** Among hubs the sender comes before the receiver. */
     bool comesBefore = false;
     /** The store's revision up to which the sender's list of targets is complete. */
@@ -65,7 +65,7 @@
 };
 
 /** The longest pause between two calls that fail, where nobody else tries. */
-inline constexpr Millis usualStorePause{800};
+inline constexpr Millis baseStorePause{800};
 
 /** One gateway's part in reading the store. Not thread-safe. */
 class StoreDuty
@@ -74,45 +74,45 @@
     /** @param seed of the generator by which gateways that must try do so one after the other. */
     StoreDuty(const StoreDutySettings &settings, std::uint64_t seed);
 
-    void setSettings(const StoreDutySettings &with);
+    void setSettings(const StoreDutySettings &newSettings);
     /** The store told this gateway itself of all targets, as they were at that moment or later. */
-    void answered(Millis at);
+    void recordStoreAnswer(Millis at);
     /**
      * The store said itself that it was at revision at that moment or later. Where the list has not come as far, that
      * proves nothing until it has.
      */
-    void storeWasAt(Revision revision, Millis at);
+    void recordStoreRevision(Revision revision, Millis at);
     /** The list of targets is complete up to that revision of the store, whoever told it. */
-    void listReached(Revision revision);
+    void recordListRevision(Revision revision);
     /** This gateway has asked for all of it, and was answered, for the first time. */
-    void readAll(Millis at);
-    void heard(const StoreWord &word, Millis now);
+    void recordFirstFullRead(Millis at);
+    void recordPeerReport(const PeerStoreReport &report, Millis now);
 
     /** Whether this gateway lists and watches nothing for now. */
-    bool mayRest(const StoreRole &role, Millis now) const;
+    bool mayFollowPeers(const StoreRole &role, Millis now) const;
     /** Whether the store itself has lately told this gateway how the targets are. */
-    bool isFirstHand(Millis now) const;
+    bool hasRecentStoreAnswer(Millis now) const;
     /** How old this gateway's knowledge is, whoever read it; never() where it has none. */
     Millis knowledgeAge(Millis now) const;
     /** Whether it is young enough to be told to others. */
-    bool mayTell(Millis now) const;
+    bool mayShareKnowledge(Millis now) const;
     /** How old the proof of the configuration may get before this gateway reads it. */
-    Millis longestProofAge(const StoreRole &role, Millis now) const;
+    Millis maxProofAge(const StoreRole &role, Millis now) const;
     /** The longest pause between two calls that fail: the fleet together shall not press a store that is away. */
-    Millis longestPause(const StoreRole &role) const;
+    Millis maxRetryPause(const StoreRole &role) const;
 
 private:
-    Millis firstHubPatience() const;
-    Millis hubPatience() const;
-    Millis patience() const;
+    Millis secondHubMaxAge() const;
+    Millis otherHubMaxAge() const;
+    Millis followerMaxAge() const;
     /** By how much this gateway tries later than the first one does, where a hub in touch does not reach the store. */
-    Millis turn(const StoreRole &role) const;
-    bool isHubInTouch(Millis now) const;
+    Millis retryDelay(const StoreRole &role) const;
+    bool hasHubContact(Millis now) const;
 
     enum class Source {
         Store,
         /** A hub that comes before this one and reads the store itself. */
-        BetterHub,
+        EarlierHub,
         Peer,
     };
     /** At that moment the store was at revision, or further. */
@@ -122,23 +122,23 @@
         Millis at;
         Source source = Source::Store;
     };
-    void take(const Claim &claim);
-    void believe(const Claim &claim);
+    void addClaim(const Claim &claim);
+    void applyClaim(const Claim &claim);
 
     StoreDutySettings settings;
     /** From 0 up to 1: this gateway's place in the order in which all try. */
-    double place = 0;
-    Revision listed = 0;
+    double retryOrder = 0;
+    Revision listRevision = 0;
     /** Claims that are ahead of the list, the oldest first. */
-    std::deque<Claim> ahead;
-    Millis answeredAt;
-    Millis readAllAt;
+    std::deque<Claim> pendingClaims;
+    Millis storeAnsweredAt;
+    Millis firstFullReadAt;
     /** What is surely known of the store by peers' words: all up to that moment. */
-    Millis knownAt;
+    Millis knownByPeersAt;
     /** The same by hubs that come before this one and read the store themselves. */
-    Millis knownByBetterAt;
+    Millis knownByEarlierHubAt;
     /** When the newest report was sent that a hub answered. */
-    Millis hubHeardAt;
+    Millis hubContactAt;
 };
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/gateway/storedutytest.cpp
+++ b/sequoiausher/coordination/gateway/storedutytest.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr Millis tick{50};
-constexpr Millis travel{10};
+constexpr Millis networkDelay{10};
 constexpr StoreDutySettings settings{Millis{4000}, Millis{5000}, Millis{800}};
 
 InstanceId nameOf(std::size_t i)
@@ -51,7 +51,7 @@
             this->deliver();
             for (std::size_t i = 0; i < this->gateways.size(); ++i) {
                 if (!this->dead.contains(i)) {
-                    this->turn(i);
+                    this->runGateway(i);
                 }
             }
         }
@@ -63,7 +63,7 @@
     {
         Millis oldest;
         for (std::size_t i = 0; i < this->gateways.size(); ++i) {
-            if (!this->dead.contains(i) && !this->apart.contains(i)) {
+            if (!this->dead.contains(i) && !this->isolated.contains(i)) {
                 oldest = std::max(oldest, this->gateways[i].duty.knowledgeAge(this->now));
             }
         }
@@ -74,7 +74,8 @@
     {
         std::size_t count = 0;
         for (std::size_t i = 0; i < this->gateways.size(); ++i) {
-            count += !this->dead.contains(i) && !this->gateways[i].duty.mayRest(this->roleOf(i), this->now) ? 1 : 0;
+            count += !this->dead.contains(i) && !this->gateways[i].duty.mayFollowPeers(this->roleOf(i), this->now) ? 1
+                                                                                                                   : 0;
         }
         return count;
     }
@@ -92,9 +93,9 @@
 
     std::set<std::size_t> dead;
     /** Those that neither reach the others nor the store. */
-    std::set<std::size_t> apart;
+    std::set<std::size_t> isolated;
     /** Those that the store turns away. */
-    std::set<std::size_t> turnedAway;
+    std::set<std::size_t> refused;
 
 private:
     struct Gateway
@@ -109,7 +110,7 @@
         StoreDuty duty;
         Millis nextRound;
         Millis nextRead;
-        bool wasResting = false;
+        bool wasFollowing = false;
     };
 
     struct Message
@@ -126,20 +127,20 @@
         return {true, directory.hasHubs(this->now), directory.hubRank(this->now), directory.fleetSize(this->now)};
     }
 
-    void turn(std::size_t i)
+    void runGateway(std::size_t i)
     {
         Gateway &gateway = this->gateways[i];
         const StoreRole role = this->roleOf(i);
-        const bool rests = gateway.duty.mayRest(role, this->now);
-        if (!rests && (this->now >= gateway.nextRead || gateway.wasResting)) {
+        const bool follows = gateway.duty.mayFollowPeers(role, this->now);
+        if (!follows && (this->now >= gateway.nextRead || gateway.wasFollowing)) {
             this->read(gateway, i);
             gateway.nextRead = this->now
-                + (this->reaches(i) ? gateway.duty.longestProofAge(role, this->now) : gateway.duty.longestPause(role));
+                + (this->reaches(i) ? gateway.duty.maxProofAge(role, this->now) : gateway.duty.maxRetryPause(role));
         }
-        gateway.wasResting = rests;
+        gateway.wasFollowing = follows;
         if (this->now >= gateway.nextRound) {
             gateway.nextRound = this->now + reportInterval;
-            for (const DueReport &due : gateway.directory.due(this->now)) {
+            for (const DueReport &due : gateway.directory.takeDueReports(this->now)) {
                 this->send(i, due.peer, due.wantsReply, false);
             }
         }
@@ -147,16 +148,16 @@
 
     bool reaches(std::size_t i) const
     {
-        return !this->apart.contains(i) && !this->turnedAway.contains(i);
+        return !this->isolated.contains(i) && !this->refused.contains(i);
     }
 
     void read(Gateway &gateway, std::size_t i)
     {
         // A call of one that is cut off reaches nobody.
-        this->readings += this->apart.contains(i) ? 0 : 1;
+        this->readings += this->isolated.contains(i) ? 0 : 1;
         if (this->reaches(i)) {
-            gateway.duty.answered(this->now);
-            gateway.duty.readAll(this->now);
+            gateway.duty.recordStoreAnswer(this->now);
+            gateway.duty.recordFirstFullRead(this->now);
         }
     }
 
@@ -167,11 +168,11 @@
             if (nameOf(i) == to) {
                 GatewayReport report;
                 report.sentAt = this->now;
-                report.echo = gateway.directory.newestFrom(to);
+                report.echo = gateway.directory.newestReportFrom(to);
                 report.storeAge = gateway.duty.knowledgeAge(this->now);
                 report.isHub = gateway.directory.isHub(this->now);
-                report.isResting
-                    = gateway.duty.mayRest(this->roleOf(from), this->now) || !gateway.duty.isFirstHand(this->now);
+                report.isResting = gateway.duty.mayFollowPeers(this->roleOf(from), this->now)
+                    || !gateway.duty.hasRecentStoreAnswer(this->now);
                 report.strength = static_cast<std::uint16_t>(from % 7);
                 report.dataCentre = dataCentreOf(from);
                 report.wantsReply = wantsReply;
@@ -179,7 +180,7 @@
                 if (isReply || report.isHub || !gateway.directory.hasHubs(this->now)) {
                     report.members = gateway.directory.members(this->now);
                 }
-                this->messages.push_back({this->now + travel, from, i, std::move(report)});
+                this->messages.push_back({this->now + networkDelay, from, i, std::move(report)});
             }
         }
     }
@@ -189,7 +190,7 @@
         const std::deque<Message> due = std::exchange(this->messages, {});
         for (const Message &message : due) {
             const bool isLost = this->dead.contains(message.to) || this->dead.contains(message.from)
-                || this->apart.contains(message.to) || this->apart.contains(message.from);
+                || this->isolated.contains(message.to) || this->isolated.contains(message.from);
             if (!isLost) {
                 this->receive(message);
             }
@@ -201,9 +202,10 @@
         Gateway &gateway = this->gateways[message.to];
         const InstanceId from = nameOf(message.from);
         const GatewayReport &report = message.report;
-        gateway.directory.heardFrom(from, report, this->now);
+        gateway.directory.recordReport(from, report, this->now);
         const bool comesBefore = gateway.directory.comesBefore(from, this->now);
-        gateway.duty.heard({report.storeAge, report.echo, report.isHub, !report.isResting, comesBefore}, this->now);
+        gateway.duty.recordPeerReport({report.storeAge, report.echo, report.isHub, !report.isResting, comesBefore},
+                                      this->now);
         if (gateway.directory.mustReply(from, report, this->now)) {
             this->send(message.to, from, false, true);
         }
@@ -223,17 +225,17 @@
     StoreDuty duty(settings, 1);
     const StoreRole role{true, true, std::nullopt, 100};
     CHECK(duty.knowledgeAge(Millis{10000}) == Millis::never());
-    CHECK_FALSE(duty.mayRest(role, Millis{10000}));
-    duty.heard({Millis{500}, Millis{0}, true, true, true}, Millis{10000});
-    duty.heard({Millis::never(), Millis{9900}, true, true, true}, Millis{10000});
+    CHECK_FALSE(duty.mayFollowPeers(role, Millis{10000}));
+    duty.recordPeerReport({Millis{500}, Millis{0}, true, true, true}, Millis{10000});
+    duty.recordPeerReport({Millis::never(), Millis{9900}, true, true, true}, Millis{10000});
     CHECK(duty.knowledgeAge(Millis{10000}) == Millis::never());
-    duty.heard({Millis{500}, Millis{9900}, true, true, true}, Millis{10000});
+    duty.recordPeerReport({Millis{500}, Millis{9900}, true, true, true}, Millis{10000});
     CHECK(duty.knowledgeAge(Millis{10000}) == Millis{600});
-    CHECK(duty.mayRest(role, Millis{10000}));
-    CHECK(duty.mayTell(Millis{10000}));
-    CHECK_FALSE(duty.isFirstHand(Millis{10000}));
-    duty.answered(Millis{10000});
-    CHECK(duty.isFirstHand(Millis{10000}));
+    CHECK(duty.mayFollowPeers(role, Millis{10000}));
+    CHECK(duty.mayShareKnowledge(Millis{10000}));
+    CHECK_FALSE(duty.hasRecentStoreAnswer(Millis{10000}));
+    duty.recordStoreAnswer(Millis{10000});
+    CHECK(duty.hasRecentStoreAnswer(Millis{10000}));
     CHECK(duty.knowledgeAge(Millis{10000}) == Millis{0});
 }
 
@@ -242,31 +244,31 @@
 {
     StoreDuty duty(settings, 1);
     const StoreRole role{true, true, std::nullopt, 100};
-    duty.listReached(7);
-    duty.heard({Millis{500}, Millis{9900}, true, true, true, 8}, Millis{10000});
+    duty.recordListRevision(7);
+    duty.recordPeerReport({Millis{500}, Millis{9900}, true, true, true, 8}, Millis{10000});
     CHECK(duty.knowledgeAge(Millis{10000}) == Millis::never());
-    CHECK_FALSE(duty.mayRest(role, Millis{10000}));
-    duty.storeWasAt(9, Millis{9950});
-    CHECK_FALSE(duty.isFirstHand(Millis{10000}));
-    duty.listReached(8);
+    CHECK_FALSE(duty.mayFollowPeers(role, Millis{10000}));
+    duty.recordStoreRevision(9, Millis{9950});
+    CHECK_FALSE(duty.hasRecentStoreAnswer(Millis{10000}));
+    duty.recordListRevision(8);
     CHECK(duty.knowledgeAge(Millis{10000}) == Millis{600});
-    CHECK(duty.mayRest(role, Millis{10000}));
-    CHECK_FALSE(duty.isFirstHand(Millis{10000}));
-    duty.listReached(9);
+    CHECK(duty.mayFollowPeers(role, Millis{10000}));
+    CHECK_FALSE(duty.hasRecentStoreAnswer(Millis{10000}));
+    duty.recordListRevision(9);
     CHECK(duty.knowledgeAge(Millis{10000}) == Millis{50});
-    CHECK(duty.isFirstHand(Millis{10000}));
-    duty.storeWasAt(9, Millis{9990});
+    CHECK(duty.hasRecentStoreAnswer(Millis{10000}));
+    duty.recordStoreRevision(9, Millis{9990});
     CHECK(duty.knowledgeAge(Millis{10000}) == Millis{10});
 }
 
 TEST_CASE("a gateway of a small fleet reads by itself, and a lone one at once")
 {
     StoreDuty duty(settings, 1);
-    duty.readAll(Millis{1000});
-    CHECK(duty.mayRest({true, false, std::nullopt, 12}, Millis{1100}));
-    CHECK_FALSE(duty.mayRest({true, false, std::nullopt, 7}, Millis{2500}));
-    CHECK_FALSE(duty.mayRest({false, false, std::nullopt, 1}, Millis{1100}));
-    CHECK(duty.longestProofAge({true, false, std::nullopt, 7}, Millis{2500}) == settings.proofInterval);
+    duty.recordFirstFullRead(Millis{1000});
+    CHECK(duty.mayFollowPeers({true, false, std::nullopt, 12}, Millis{1100}));
+    CHECK_FALSE(duty.mayFollowPeers({true, false, std::nullopt, 7}, Millis{2500}));
+    CHECK_FALSE(duty.mayFollowPeers({false, false, std::nullopt, 1}, Millis{1100}));
+    CHECK(duty.maxProofAge({true, false, std::nullopt, 7}, Millis{2500}) == settings.proofInterval);
 }
 
 // Symptom: 295 gateways that start together called the store 2,600 times, and nine hubs twice a second each after that.
@@ -302,11 +304,11 @@
         }
         SUBCASE("it is cut off")
         {
-            fleet.apart.insert(first);
+            fleet.isolated.insert(first);
         }
         SUBCASE("the store turns it away")
         {
-            fleet.turnedAway.insert(first);
+            fleet.refused.insert(first);
         }
         Millis oldest;
         std::size_t readings = 0;
@@ -327,8 +329,8 @@
     Fleet fleet(295);
     fleet.run(Millis{6000});
     std::mt19937 random(1);
-    while (fleet.apart.size() < 88) {
-        fleet.apart.insert(random() % 295);
+    while (fleet.isolated.size() < 88) {
+        fleet.isolated.insert(random() % 295);
     }
     CHECK(fleet.run(Millis{8000}) < 150);
     CHECK(fleet.oldestKnowledge() < settings.leaveBound * 3 / 4);
@@ -341,10 +343,10 @@
     Fleet fleet(295);
     fleet.run(Millis{6000});
     for (std::size_t i = 0; i < 295; ++i) {
-        fleet.turnedAway.insert(i);
+        fleet.refused.insert(i);
     }
     CHECK(fleet.run(Millis{4500}) < 150);
-    fleet.turnedAway.clear();
+    fleet.refused.clear();
     fleet.run(Millis{1500});
     CHECK(fleet.oldestKnowledge() < Millis{2000});
 }
@@ -355,7 +357,7 @@
     fleet.run(Millis{6000});
     for (std::size_t i = 0; i < 66; ++i) {
         if (i % 7 >= 5) {
-            fleet.turnedAway.insert(i);
+            fleet.refused.insert(i);
         }
     }
     fleet.run(Millis{5000});
--- a/sequoiausher/coordination/gateway/storeposition.cpp
+++ b/sequoiausher/coordination/gateway/storeposition.cpp
@@ -8,7 +8,7 @@
 
 Revision storePosition(std::uint64_t era, Revision revision)
 {
-    if (era > latestEra || revision > latestRevision) {
+    if (era > maxEra || revision > maxRevision) {
         throw Error(Step::Platform,
                     "store",
                     "era " + std::to_string(era) + " or revision " + std::to_string(revision) + " is out of range");
--- a/sequoiausher/coordination/gateway/storeposition.h
+++ b/sequoiausher/coordination/gateway/storeposition.h
@@ -14,8 +14,8 @@
 namespace Sequoiausher {
 
 inline constexpr unsigned int revisionBits = 40;
-inline constexpr std::uint64_t latestEra = (std::uint64_t{1} << 23U) - 1;
-inline constexpr Revision latestRevision = (Revision{1} << revisionBits) - 1;
+inline constexpr std::uint64_t maxEra = (std::uint64_t{1} << 23U) - 1;
+inline constexpr Revision maxRevision = (Revision{1} << revisionBits) - 1;
 
 /** @throws Error(Step::Platform) where either is above the latest that a position can hold. */
 Revision storePosition(std::uint64_t era, Revision revision);
@@ -27,7 +27,7 @@
 
 constexpr Revision revisionIn(Revision position)
 {
-    return position & latestRevision;
+    return position & maxRevision;
 }
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/gateway/storepositiontest.cpp
+++ b/sequoiausher/coordination/gateway/storepositiontest.cpp
@@ -9,11 +9,11 @@
 TEST_CASE("a later era comes after every revision of the ones before it")
 {
     CHECK(storePosition(0, 7) == 7);
-    CHECK(storePosition(1, 0) > storePosition(0, latestRevision));
+    CHECK(storePosition(1, 0) > storePosition(0, maxRevision));
     CHECK(storePosition(4, 9) > storePosition(4, 8));
     CHECK(eraOf(storePosition(4, 9)) == 4);
     CHECK(revisionIn(storePosition(4, 9)) == 9);
-    CHECK(eraOf(storePosition(latestEra, latestRevision)) == latestEra);
-    CHECK_THROWS_AS(storePosition(latestEra + 1, 0), Error);
-    CHECK_THROWS_AS(storePosition(0, latestRevision + 1), Error);
+    CHECK(eraOf(storePosition(maxEra, maxRevision)) == maxEra);
+    CHECK_THROWS_AS(storePosition(maxEra + 1, 0), Error);
+    CHECK_THROWS_AS(storePosition(0, maxRevision + 1), Error);
 }
--- a/sequoiausher/coordination/gateway/targetboard.cpp
+++ b/sequoiausher/coordination/gateway/targetboard.cpp
@@ -16,55 +16,55 @@
 namespace {
 
 /** A peer's loads count until so long after its report: some reports may be lost, and a dead peer holds nothing. */
-constexpr Millis peerLoadLife{1500};
+constexpr Millis peerLoadTtl{1500};
 /** After a target said that it is full it is passed over for so long: about the time in which it ends some requests. */
-constexpr Millis fullPause{150};
+constexpr Millis fullTargetBackoff{150};
 /** A gateway sends so many requests to one target between two reports by chance. */
-constexpr std::uint32_t unremarkable = 1;
+constexpr std::uint32_t chanceRequestsPerReport = 1;
 /**
  * So many requests above the bound in percent are let through. At a mean of two or three requests a target, chance
  * alone brings twice the mean, and each request that a bound turns away is read anew by a target that has nothing of it
  * cached.
  */
-constexpr std::uint64_t boundSlack = 1;
+constexpr std::uint64_t boundSlackRequests = 1;
 /** How old what peers said is on the average when it is used: a report, a hub's, and half of the time to the next. */
 constexpr double reportAgeMs = 450;
 /** What one more answer weighs in the usual time of a target's answers: some ten are remembered. */
 constexpr double answerTimeWeight = 0.1;
 /** Expectations are no better than to about a request. */
-constexpr double asGoodAsEqual = 0.7;
+constexpr double equalLoadTolerance = 0.7;
 /** What one more round weighs in what a target usually holds: some five rounds are remembered. */
-constexpr double usualLoadWeight = 0.2;
+constexpr double averageLoadWeight = 0.2;
 /** How much of the load by which a target is judged is its usual one. */
-constexpr double usualLoadPart = 0.7;
+constexpr double averageLoadFraction = 0.7;
 /** Chance and failures give a part a second target. */
-constexpr std::size_t holdersOfHeavyUse = 3;
+constexpr std::size_t minHoldersOfHotPart = 3;
 /** Independent requests deviate from their mean by its square root; one count in fifty is twice that above it. */
-constexpr double chanceDeviations = 2;
+constexpr double chanceLoadDeviations = 2;
 /** A target that says that it leaves is gone long before; its entry may come back until then with an older store. */
-constexpr Millis wordLife{600000};
-constexpr Millis longestRest{3600000};
+constexpr Millis announcementTtl{600000};
+constexpr Millis maxTargetBackoff{3600000};
 
-struct BoardTarget
+struct TargetState
 {
     GatewayTarget target;
     std::uint64_t hash = 0;
-    std::uint32_t own = 0;
+    std::uint32_t ownInFlight = 0;
     /** What the peers said, added up. */
-    std::uint32_t peers = 0;
+    std::uint32_t peersInFlight = 0;
     /** Sent there by this gateway since its peers last heard of its loads, and so it of theirs. */
-    std::uint32_t sinceReports = 0;
+    std::uint32_t sentSinceReport = 0;
     /** The number of the request that was last sent there; 0 for none. */
     std::uint64_t sentOrder = 0;
     /** How long its answers take; 0 before the first. */
     double answerMs = 0;
     /** What it held in the last rounds, on the average; absent before the first. */
-    std::optional<double> usualLoad;
+    std::optional<double> averageLoad;
     TargetHealthScore health;
     Millis fullUntil;
     /** It wants no request until then. */
-    Millis restUntil;
-    Millis heardAt;
+    Millis backoffUntil;
+    Millis lastActivityAt;
     bool isListed = true;
 };
 
@@ -78,11 +78,11 @@
 }
 
 /** What a target said of itself in its answers. */
-struct TargetWord
+struct TargetAnnouncement
 {
-    bool leaves = false;
-    Millis restUntil;
-    Millis saidAt;
+    bool hasAnnouncedLeaving = false;
+    Millis backoffUntil;
+    Millis announcedAt;
 };
 
 struct PeerLoads
@@ -96,17 +96,17 @@
 class TargetBoard::Private
 {
 public:
-    static std::uint32_t inFlight(const BoardTarget &target)
+    static std::uint32_t inFlight(const TargetState &target)
     {
-        return target.own + target.peers;
+        return target.ownInFlight + target.peersInFlight;
     }
 
     /** Takes what the peer said out of the sums. */
     void forget(const PeerLoads &loads)
     {
         for (const auto &[id, inFlight] : loads.inFlight) {
-            if (BoardTarget *target = this->find(id)) {
-                target->peers -= std::min(target->peers, inFlight);
+            if (TargetState *target = this->find(id)) {
+                target->peersInFlight -= std::min(target->peersInFlight, inFlight);
             }
         }
     }
@@ -114,7 +114,7 @@
     void expire(Millis now)
     {
         std::erase_if(this->peers, [this, now](const auto &entry) {
-            const bool isOld = now - entry.second.at > peerLoadLife;
+            const bool isOld = now - entry.second.at > peerLoadTtl;
             if (isOld) {
                 this->forget(entry.second);
             }
@@ -127,12 +127,12 @@
      * it has sent several requests for one part in a moment, so have they. Without this a part that suddenly gets much
      * of the traffic overloads its target for as long as reports take, by as many times as there are gateways.
      */
-    std::uint32_t unheard(const BoardTarget &target) const
+    std::uint32_t estimateUnreportedRequests(const TargetState &target) const
     {
-        if (target.sinceReports <= unremarkable) {
+        if (target.sentSinceReport <= chanceRequestsPerReport) {
             return 0;
         }
-        return static_cast<std::uint32_t>((target.sinceReports - unremarkable) * this->otherGateways);
+        return static_cast<std::uint32_t>((target.sentSinceReport - chanceRequestsPerReport) * this->otherGateways);
     }
 
     /**
@@ -141,15 +141,15 @@
      * together, and back together: each move takes parts of prompts to where they must be read again, and heaps up
      * requests there before anybody hears of it.
      */
-    static std::uint32_t evenedOut(const BoardTarget &target)
+    static std::uint32_t smoothedInFlight(const TargetState &target)
     {
-        const double counted = inFlight(target);
-        const double usual = target.usualLoad.value_or(counted);
+        const double current = inFlight(target);
+        const double average = target.averageLoad.value_or(current);
         // More than chance brings: a part has come into heavy use, and waiting would overload its target.
-        if (counted - usual > chanceDeviations * std::sqrt(std::max(usual, 1.0))) {
+        if (current - average > chanceLoadDeviations * std::sqrt(std::max(average, 1.0))) {
             return inFlight(target);
         }
-        return static_cast<std::uint32_t>(std::lround(counted + (usual - counted) * usualLoadPart));
+        return static_cast<std::uint32_t>(std::lround(current + (average - current) * averageLoadFraction));
     }
 
     /**
@@ -159,29 +159,31 @@
      * reports find it overloaded: with three targets of 30 ms and reports of 300, a queue of 20 there while others
      * idle.
      */
-    static double expectedNow(const BoardTarget &target, double meanOfPeers)
+    static double expectedInFlight(const TargetState &target, double meanPeersInFlight)
     {
         const double left = target.answerMs > 0 ? std::exp(-reportAgeMs / target.answerMs) : 1;
-        return target.own + meanOfPeers + (static_cast<double>(target.peers) - meanOfPeers) * left;
+        return target.ownInFlight + meanPeersInFlight
+            + (static_cast<double>(target.peersInFlight) - meanPeersInFlight) * left;
     }
 
     /**
      * The usable target where the fewest are expected; among those that are as good as equal the one that this gateway
      * has sent nothing to for longest. Were the last hundredth to decide, all gateways would decide alike.
      */
-    static std::optional<std::size_t> leastExpected(const std::vector<BoardTarget *> &candidates, const PoolLoad &load)
+    static std::optional<std::size_t> chooseLeastExpected(const std::vector<TargetState *> &candidates,
+                                                          const PoolLoad &load)
     {
-        const double mean = meanOfPeers(candidates);
+        const double mean = meanPeersInFlight(candidates);
         std::optional<std::size_t> best;
         double least = 0;
         for (std::size_t i = 0; i < candidates.size(); ++i) {
             if (!load.targets[i].usable) {
                 continue;
             }
-            const double expected = expectedNow(*candidates[i], mean);
-            const bool isEqual = best && std::abs(expected - least) < asGoodAsEqual;
-            const bool isLonger = isEqual && candidates[i]->sentOrder < candidates[*best]->sentOrder;
-            if (!best || isLonger || (!isEqual && expected < least)) {
+            const double expected = expectedInFlight(*candidates[i], mean);
+            const bool isTie = best && std::abs(expected - least) < equalLoadTolerance;
+            const bool isLongerUnused = isTie && candidates[i]->sentOrder < candidates[*best]->sentOrder;
+            if (!best || isLongerUnused || (!isTie && expected < least)) {
                 best = i;
                 least = expected;
             }
@@ -189,33 +191,34 @@
         return best;
     }
 
-    static double meanOfPeers(const std::vector<BoardTarget *> &candidates)
+    static double meanPeersInFlight(const std::vector<TargetState *> &candidates)
     {
-        double sum = 0;
-        for (const BoardTarget *held : candidates) {
-            sum += held->peers;
+        double total = 0;
+        for (const TargetState *state : candidates) {
+            total += state->peersInFlight;
         }
-        return candidates.empty() ? 0 : sum / static_cast<double>(candidates.size());
+        return candidates.empty() ? 0 : total / static_cast<double>(candidates.size());
     }
 
     /** The targets that may be chosen, by service. */
-    void sortByService()
+    void groupByService()
     {
         this->byService.clear();
-        for (auto &[id, held] : this->targets) {
-            if (this->isOffered(held)) {
-                this->byService[held.target.service].push_back(&held);
+        for (auto &[id, state] : this->targets) {
+            if (this->isEligible(state)) {
+                this->byService[state.target.service].push_back(&state);
             }
         }
     }
 
-    bool isOffered(const BoardTarget &held) const
+    bool isEligible(const TargetState &state) const
     {
-        const auto word = this->words.find(held.target.id);
-        return held.isListed && !held.target.isLeaving && (word == this->words.end() || !word->second.leaves);
+        const auto announcement = this->announcements.find(state.target.id);
+        return state.isListed && !state.target.isLeaving
+            && (announcement == this->announcements.end() || !announcement->second.hasAnnouncedLeaving);
     }
 
-    BoardTarget *find(const TargetId &id)
+    TargetState *find(const TargetId &id)
     {
         const auto found = this->targets.find(id);
         return found != this->targets.end() ? &found->second : nullptr;
@@ -223,25 +226,25 @@
 
     Policy &policy(PolicyKind kind)
     {
-        std::unique_ptr<Policy> &held = this->policies[kind];
-        if (!held) {
-            held = makePolicy(kind, this->seed);
+        std::unique_ptr<Policy> &created = this->policies[kind];
+        if (!created) {
+            created = makePolicy(kind, this->seed);
         }
-        return *held;
+        return *created;
     }
 
     std::uint64_t seed = 0;
-    std::map<TargetId, BoardTarget> targets;
+    std::map<TargetId, TargetState> targets;
     /** The targets of each service, listed and not leaving. */
-    std::map<PoolId, std::vector<BoardTarget *>> byService;
+    std::map<PoolId, std::vector<TargetState *>> byService;
     /** The present life of each listed target, by its name. */
-    std::unordered_map<TargetId, TargetId> lives;
+    std::unordered_map<TargetId, TargetId> currentIncarnations;
     /** They outlive the list's entries, which may come back. */
-    std::map<TargetId, TargetWord> words;
+    std::map<TargetId, TargetAnnouncement> announcements;
     std::map<InstanceId, PeerLoads> peers;
     std::size_t otherGateways = 0;
     /** Requests sent so far. */
-    std::uint64_t sent = 0;
+    std::uint64_t sentCount = 0;
     std::map<PolicyKind, std::unique_ptr<Policy>> policies;
 };
 
@@ -254,58 +257,60 @@
 
 void TargetBoard::setTargets(const std::vector<GatewayTarget> &targets, Millis now)
 {
-    std::erase_if(this->d->words, [now](const auto &entry) {
-        return now - entry.second.saidAt > wordLife && now >= entry.second.restUntil;
+    std::erase_if(this->d->announcements, [now](const auto &entry) {
+        return now - entry.second.announcedAt > announcementTtl && now >= entry.second.backoffUntil;
     });
-    for (auto &[id, held] : this->d->targets) {
-        held.isListed = false;
+    for (auto &[id, state] : this->d->targets) {
+        state.isListed = false;
     }
-    this->d->lives.clear();
+    this->d->currentIncarnations.clear();
     for (const GatewayTarget &target : targets) {
-        this->d->lives.emplace(listedName(target), target.id);
-        BoardTarget &held = this->d->targets[target.id];
-        held.target = target;
-        held.hash = hash64(target.id.value);
-        held.isListed = true;
-        const auto word = this->d->words.find(target.id);
-        held.restUntil = word != this->d->words.end() ? word->second.restUntil : Millis{0};
-    }
-    std::erase_if(this->d->targets, [](const auto &entry) { return !entry.second.isListed && entry.second.own == 0; });
-    for (auto &[id, held] : this->d->targets) {
-        held.peers = 0;
-    }
-    this->d->sortByService();
+        this->d->currentIncarnations.emplace(listedName(target), target.id);
+        TargetState &state = this->d->targets[target.id];
+        state.target = target;
+        state.hash = hash64(target.id.value);
+        state.isListed = true;
+        const auto announcement = this->d->announcements.find(target.id);
+        state.backoffUntil
+            = announcement != this->d->announcements.end() ? announcement->second.backoffUntil : Millis{0};
+    }
+    std::erase_if(this->d->targets,
+                  [](const auto &entry) { return !entry.second.isListed && entry.second.ownInFlight == 0; });
+    for (auto &[id, state] : this->d->targets) {
+        state.peersInFlight = 0;
+    }
+    this->d->groupByService();
     for (const auto &[peer, loads] : this->d->peers) {
         for (const auto &[id, inFlight] : loads.inFlight) {
-            if (BoardTarget *held = this->d->find(id)) {
-                held->peers += inFlight;
+            if (TargetState *state = this->d->find(id)) {
+                state->peersInFlight += inFlight;
             }
         }
     }
 }
 
-void TargetBoard::peerReported(const InstanceId &peer, const std::vector<GatewayLoad> &loads, Millis now)
+void TargetBoard::updatePeerLoads(const InstanceId &peer, const std::vector<GatewayLoad> &loads, Millis now)
 {
     this->d->expire(now);
-    PeerLoads &held = this->d->peers[peer];
-    this->d->forget(held);
-    held.at = now;
-    held.inFlight.clear();
+    PeerLoads &reported = this->d->peers[peer];
+    this->d->forget(reported);
+    reported.at = now;
+    reported.inFlight.clear();
     for (const GatewayLoad &load : loads) {
-        BoardTarget *target = this->d->find(load.target);
+        TargetState *target = this->d->find(load.target);
         if (load.inFlight > 0) {
-            held.inFlight[load.target] = load.inFlight;
+            reported.inFlight[load.target] = load.inFlight;
             if (target != nullptr) {
-                target->peers += load.inFlight;
+                target->peersInFlight += load.inFlight;
             }
         }
         if (load.suspected && target != nullptr) {
-            target->health.suspectedByPeer(now);
+            target->health.recordPeerSuspicion(now);
         }
     }
 }
 
-void TargetBoard::forgetPeersBut(const InstanceId &peer)
+void TargetBoard::forgetOtherPeers(const InstanceId &peer)
 {
     std::erase_if(this->d->peers, [this, &peer](const auto &entry) {
         const bool isOther = entry.first != peer;
@@ -324,50 +329,51 @@
 std::optional<ChosenTarget> TargetBoard::choose(const TargetCriteria &criteria, Millis now)
 {
     this->d->expire(now);
-    const std::vector<BoardTarget *> &candidates = this->d->byService[criteria.service];
+    const std::vector<TargetState *> &candidates = this->d->byService[criteria.service];
     // Only a policy that fills what room there is step by step is served by evened loads: one that moves all of a
     // part's requests at the bound would do so later, and for longer.
-    const bool sharesRoom = criteria.policy == PolicyKind::RoomRendezvous;
+    const bool spreadsByRoom = criteria.policy == PolicyKind::RoomRendezvous;
     PoolLoad load;
     load.targets.reserve(candidates.size());
-    std::size_t avoided = 0;
-    std::size_t resting = 0;
-    for (const BoardTarget *held : candidates) {
-        const std::uint32_t inFlight = Private::inFlight(*held);
+    std::size_t skipped = 0;
+    std::size_t backingOff = 0;
+    for (const TargetState *state : candidates) {
+        const std::uint32_t inFlight = Private::inFlight(*state);
         load.total += inFlight;
         load.counted += 1;
-        const TargetId &id = held->target.id;
+        const TargetId &id = state->target.id;
         const bool excluded
             = std::find(criteria.excluded.begin(), criteria.excluded.end(), id) != criteria.excluded.end();
-        const bool isResting = now < held->restUntil;
-        const bool isAvoided = !isResting && (held->health.isAvoided(now) || now < held->fullUntil);
-        resting += isResting ? 1 : 0;
-        avoided += isAvoided ? 1 : 0;
-        const std::uint32_t likely = (sharesRoom ? Private::evenedOut(*held) : inFlight) + this->d->unheard(*held);
-        load.targets.push_back({id, held->hash, likely, inFlight, !excluded && !isAvoided && !isResting});
+        const bool isBackingOff = now < state->backoffUntil;
+        const bool isSkipped = !isBackingOff && (state->health.isEjected(now) || now < state->fullUntil);
+        backingOff += isBackingOff ? 1 : 0;
+        skipped += isSkipped ? 1 : 0;
+        const std::uint32_t likely = (spreadsByRoom ? Private::smoothedInFlight(*state) : inFlight)
+            + this->d->estimateUnreportedRequests(*state);
+        load.targets.push_back({id, state->hash, likely, inFlight, !excluded && !isSkipped && !isBackingOff});
     }
     // Where most targets fail, the fault is not theirs alone, and keeping away would press the rest: use all of them.
-    const bool useAvoided = avoided * 2 > candidates.size() - resting;
+    const bool useSkipped = skipped * 2 > candidates.size() - backingOff;
     std::size_t usable = 0;
     for (std::size_t i = 0; i < candidates.size(); ++i) {
         TargetLoad &target = load.targets[i];
         const bool excluded
             = std::find(criteria.excluded.begin(), criteria.excluded.end(), target.target) != criteria.excluded.end();
-        target.usable = target.usable || (useAvoided && !excluded && now >= candidates[i]->restUntil);
+        target.usable = target.usable || (useSkipped && !excluded && now >= candidates[i]->backoffUntil);
         usable += target.usable ? 1 : 0;
     }
-    load.lowestBound = loadBound(criteria.boundPercent, load.total, load.counted) + boundSlack;
+    load.lowestBound = loadBound(criteria.boundPercent, load.total, load.counted) + boundSlackRequests;
     const std::optional<std::size_t> holder = chooseHolder(criteria.holders, load, criteria.requestHash);
     // A part that several hold and none takes is in heavy use: by its hash all gateways would fill one more target.
-    const bool isHeavilyUsed = !holder && sharesRoom && usableAmong(criteria.holders, load) >= holdersOfHeavyUse;
-    const std::uint64_t place = isHeavilyUsed ? criteria.requestHash : criteria.partHash;
+    const bool isHotPart = !holder && spreadsByRoom && usableAmong(criteria.holders, load) >= minHoldersOfHotPart;
+    const std::uint64_t place = isHotPart ? criteria.requestHash : criteria.partHash;
     const Choice choice{place, criteria.boundPercent, holder, false, criteria.firstPartHash};
     // A part that nobody holds yet is read by the first one who gets it, and gateways hear of that late: until then
     // they agree on a target only if they go by the hash alone.
-    const bool isUnread = sharesRoom && criteria.holders.empty();
+    const bool isUnread = spreadsByRoom && criteria.holders.empty();
     const PolicyKind policy = isUnread ? PolicyKind::BoundedRendezvous : criteria.policy;
     std::optional<std::size_t> index = policy == PolicyKind::LeastExpected
-        ? Private::leastExpected(candidates, load)
+        ? Private::chooseLeastExpected(candidates, load)
         : this->d->policy(policy).choose(load, choice);
     if (!index && usable > 0) {
         index = this->d->policy(PolicyKind::LeastLoaded).choose(load, choice);
@@ -378,120 +384,120 @@
     return ChosenTarget{candidates[*index]->target, load.targets[*index].inFlight, load.total, usable};
 }
 
-std::optional<GatewayTarget> TargetBoard::copySource(const std::vector<TargetId> &holders, Millis now)
+std::optional<GatewayTarget> TargetBoard::findCopySource(const std::vector<TargetId> &holders, Millis now)
 {
     this->d->expire(now);
-    const BoardTarget *best = nullptr;
+    const TargetState *best = nullptr;
     for (const TargetId &holder : holders) {
-        const BoardTarget *held = this->d->find(holder);
+        const TargetState *state = this->d->find(holder);
         const bool isSound
-            = held != nullptr && held->isListed && !held->health.isAvoided(now) && now >= held->restUntil;
-        if (isSound && (best == nullptr || Private::inFlight(*held) < Private::inFlight(*best))) {
-            best = held;
+            = state != nullptr && state->isListed && !state->health.isEjected(now) && now >= state->backoffUntil;
+        if (isSound && (best == nullptr || Private::inFlight(*state) < Private::inFlight(*best))) {
+            best = state;
         }
     }
     return best != nullptr ? std::optional(best->target) : std::nullopt;
 }
 
-void TargetBoard::started(const TargetId &target)
+void TargetBoard::recordStart(const TargetId &target)
 {
-    if (BoardTarget *held = this->d->find(target)) {
-        held->own += 1;
-        held->sinceReports += 1;
-        held->sentOrder = ++this->d->sent;
+    if (TargetState *state = this->d->find(target)) {
+        state->ownInFlight += 1;
+        state->sentSinceReport += 1;
+        state->sentOrder = ++this->d->sentCount;
     }
 }
 
-void TargetBoard::heard(const TargetId &target, Millis now)
+void TargetBoard::recordActivity(const TargetId &target, Millis now)
 {
-    if (BoardTarget *held = this->d->find(target)) {
-        held->heardAt = now;
+    if (TargetState *state = this->d->find(target)) {
+        state->lastActivityAt = now;
     }
 }
 
-Millis TargetBoard::lastHeard(const TargetId &target) const
+Millis TargetBoard::lastActivity(const TargetId &target) const
 {
-    const BoardTarget *held = this->d->find(target);
-    return held != nullptr ? held->heardAt : Millis{0};
+    const TargetState *state = this->d->find(target);
+    return state != nullptr ? state->lastActivityAt : Millis{0};
 }
 
-bool TargetBoard::saysItLeaves(const TargetId &target, Millis now)
+bool TargetBoard::markLeaving(const TargetId &target, Millis now)
 {
-    TargetWord &word = this->d->words[target];
-    word.saidAt = now;
-    const bool isNew = !std::exchange(word.leaves, true);
+    TargetAnnouncement &announcement = this->d->announcements[target];
+    announcement.announcedAt = now;
+    const bool isNew = !std::exchange(announcement.hasAnnouncedLeaving, true);
     if (isNew) {
-        this->d->sortByService();
+        this->d->groupByService();
     }
     return isNew;
 }
 
-void TargetBoard::asksForRest(const TargetId &target, Millis until, Millis now)
+void TargetBoard::setBackoff(const TargetId &target, Millis until, Millis now)
 {
-    TargetWord &word = this->d->words[target];
-    word.saidAt = now;
-    word.restUntil = std::max(word.restUntil, std::min(until, now + longestRest));
-    if (BoardTarget *held = this->d->find(target)) {
-        held->restUntil = word.restUntil;
+    TargetAnnouncement &announcement = this->d->announcements[target];
+    announcement.announcedAt = now;
+    announcement.backoffUntil = std::max(announcement.backoffUntil, std::min(until, now + maxTargetBackoff));
+    if (TargetState *state = this->d->find(target)) {
+        state->backoffUntil = announcement.backoffUntil;
     }
 }
 
-std::optional<Millis> TargetBoard::restLeft(const PoolId &service, Millis now) const
+std::optional<Millis> TargetBoard::remainingBackoff(const PoolId &service, Millis now) const
 {
     const auto found = this->d->byService.find(service);
     if (found == this->d->byService.end() || found->second.empty()) {
         return std::nullopt;
     }
     const auto first
-        = std::min_element(found->second.begin(), found->second.end(), [](const BoardTarget *a, const BoardTarget *b) {
-              return a->restUntil < b->restUntil;
+        = std::min_element(found->second.begin(), found->second.end(), [](const TargetState *a, const TargetState *b) {
+              return a->backoffUntil < b->backoffUntil;
           });
-    return now < (*first)->restUntil ? std::optional((*first)->restUntil - now) : std::nullopt;
+    return now < (*first)->backoffUntil ? std::optional((*first)->backoffUntil - now) : std::nullopt;
 }
 
-void TargetBoard::answerTook(const TargetId &target, Millis took)
+void TargetBoard::recordAnswerTime(const TargetId &target, Millis elapsed)
 {
-    if (BoardTarget *held = this->d->find(target)) {
-        const auto given = static_cast<double>(took.count);
-        held->answerMs += held->answerMs > 0 ? (given - held->answerMs) * answerTimeWeight : given;
+    if (TargetState *state = this->d->find(target)) {
+        const auto elapsedMs = static_cast<double>(elapsed.count);
+        state->answerMs += state->answerMs > 0 ? (elapsedMs - state->answerMs) * answerTimeWeight : elapsedMs;
     }
 }
 
-void TargetBoard::ended(const TargetId &target, AttemptMark mark, Millis now)
+void TargetBoard::recordEnd(const TargetId &target, TargetOutcome outcome, Millis now)
 {
-    BoardTarget *held = this->d->find(target);
-    if (held == nullptr) {
+    TargetState *state = this->d->find(target);
+    if (state == nullptr) {
         return;
     }
-    held->own -= std::min<std::uint32_t>(held->own, 1);
-    switch (mark) {
-    case AttemptMark::Answered:
-        held->health.succeeded(now);
+    state->ownInFlight -= std::min<std::uint32_t>(state->ownInFlight, 1);
+    switch (outcome) {
+    case TargetOutcome::Answered:
+        state->health.recordSuccess(now);
         break;
-    case AttemptMark::Failed:
-        held->health.failed(now, FailureWeight::Light);
+    case TargetOutcome::Failed:
+        state->health.recordFailure(now, FailureWeight::Light);
         break;
-    case AttemptMark::Lost:
-        held->health.failed(now, FailureWeight::Heavy);
+    case TargetOutcome::Lost:
+        state->health.recordFailure(now, FailureWeight::Heavy);
         break;
-    case AttemptMark::Full:
-        held->fullUntil = now + fullPause;
+    case TargetOutcome::Full:
+        state->fullUntil = now + fullTargetBackoff;
         break;
-    case AttemptMark::Neutral:
+    case TargetOutcome::Neutral:
         break;
     }
-    if (!held->isListed && held->own == 0) {
+    if (!state->isListed && state->ownInFlight == 0) {
         this->d->targets.erase(target);
     }
 }
 
 void TargetBoard::beginRound()
 {
-    for (auto &[id, held] : this->d->targets) {
-        held.sinceReports = 0;
-        const double counted = Private::inFlight(held);
-        const double before = held.usualLoad.value_or(counted);
-        held.usualLoad = before + (counted - before) * usualLoadWeight;
+    for (auto &[id, state] : this->d->targets) {
+        state.sentSinceReport = 0;
+        const double current = Private::inFlight(state);
+        const double before = state.averageLoad.value_or(current);
+        state.averageLoad = before + (current - before) * averageLoadWeight;
     }
 }
 
@@ -506,15 +512,15 @@
         }
     }
     std::vector<GatewayLoad> all;
-    for (const auto &[id, held] : this->d->targets) {
-        std::uint32_t sum = Private::inFlight(held);
+    for (const auto &[id, state] : this->d->targets) {
+        std::uint32_t total = Private::inFlight(state);
         for (const PeerLoads *loads : leftOut) {
             const auto found = loads->inFlight.find(id);
-            sum -= found != loads->inFlight.end() ? std::min(sum, found->second) : 0;
+            total -= found != loads->inFlight.end() ? std::min(total, found->second) : 0;
         }
-        const bool suspected = held.health.isAvoided(now);
-        if (sum > 0 || suspected) {
-            all.push_back({id, sum, suspected});
+        const bool suspected = state.health.isEjected(now);
+        if (total > 0 || suspected) {
+            all.push_back({id, total, suspected});
         }
     }
     return all;
@@ -523,31 +529,31 @@
 std::vector<GatewayLoad> TargetBoard::ownLoads(Millis now) const
 {
     std::vector<GatewayLoad> all;
-    for (const auto &[id, held] : this->d->targets) {
-        const bool suspected = held.health.isAvoided(now);
-        if (held.own > 0 || suspected) {
-            all.push_back({id, held.own, suspected});
+    for (const auto &[id, state] : this->d->targets) {
+        const bool suspected = state.health.isEjected(now);
+        if (state.ownInFlight > 0 || suspected) {
+            all.push_back({id, state.ownInFlight, suspected});
         }
     }
     return all;
 }
 
-bool TargetBoard::isLifeOver(const GatewayTarget &target) const
+bool TargetBoard::isReplaced(const GatewayTarget &target) const
 {
-    const auto present = this->d->lives.find(listedName(target));
-    return present != this->d->lives.end() && present->second != target.id;
+    const auto present = this->d->currentIncarnations.find(listedName(target));
+    return present != this->d->currentIncarnations.end() && present->second != target.id;
 }
 
 bool TargetBoard::isListed(const TargetId &target) const
 {
-    const BoardTarget *held = this->d->find(target);
-    return held != nullptr && held->isListed;
+    const TargetState *state = this->d->find(target);
+    return state != nullptr && state->isListed;
 }
 
-bool TargetBoard::isOffered(const TargetId &target) const
+bool TargetBoard::isEligible(const TargetId &target) const
 {
-    const BoardTarget *held = this->d->find(target);
-    return held != nullptr && this->d->isOffered(*held);
+    const TargetState *state = this->d->find(target);
+    return state != nullptr && this->d->isEligible(*state);
 }
 
 std::size_t TargetBoard::targetCount(const PoolId &service) const
@@ -559,26 +565,26 @@
 std::uint64_t TargetBoard::inFlight(const PoolId &service, Millis now) const
 {
     this->d->expire(now);
-    std::uint64_t sum = 0;
+    std::uint64_t total = 0;
     const auto found = this->d->byService.find(service);
     if (found != this->d->byService.end()) {
-        for (const BoardTarget *held : found->second) {
-            sum += Private::inFlight(*held);
+        for (const TargetState *state : found->second) {
+            total += Private::inFlight(*state);
         }
     }
-    return sum;
+    return total;
 }
 
-std::uint64_t TargetBoard::places(const PoolId &service) const
+std::uint64_t TargetBoard::totalSlots(const PoolId &service) const
 {
-    std::uint64_t sum = 0;
+    std::uint64_t total = 0;
     const auto found = this->d->byService.find(service);
     if (found != this->d->byService.end()) {
-        for (const BoardTarget *held : found->second) {
-            sum += held->target.slots;
+        for (const TargetState *state : found->second) {
+            total += state->target.slots;
         }
     }
-    return sum;
+    return total;
 }
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/gateway/targetboard.h
+++ b/sequoiausher/coordination/gateway/targetboard.h
@@ -7,7 +7,7 @@
 //     board.setTargets(list.targets(), now);
 //     const auto chosen = board.choose(criteria, now);
 //     board.started(chosen->target.id);
-//     board.ended(chosen->target.id, AttemptMark::Answered, now);
+//     board.ended(chosen->target.id, TargetOutcome::Answered, now);
 
 #include "sequoiausher/coordination/gateway/gatewayconfiguration.h"
 #include "sequoiausher/coordination/gateway/targethealthscore.h"
@@ -21,7 +21,7 @@
 namespace Sequoiausher {
 
 /** How a request to a target ended, as far as it tells of the target. */
-enum class AttemptMark {
+enum class TargetOutcome {
     /** Answered well. */
     Answered,
     /** Answered with a failure of its own. */
@@ -72,10 +72,10 @@
     /** Replaces the list; the loads of targets that stay are kept. */
     void setTargets(const std::vector<GatewayTarget> &targets, Millis now);
     /** What a peer has in flight; replaces what it said before. */
-    void peerReported(const InstanceId &peer, const std::vector<GatewayLoad> &loads, Millis now);
+    void updatePeerLoads(const InstanceId &peer, const std::vector<GatewayLoad> &loads, Millis now);
 
     /** Forgets what all other peers said: peer speaks for them from now on. */
-    void forgetPeersBut(const InstanceId &peer);
+    void forgetOtherPeers(const InstanceId &peer);
 
     /** How many gateways choose targets beside this one. */
     void setOtherGateways(std::size_t count);
@@ -84,30 +84,30 @@
     std::optional<ChosenTarget> choose(const TargetCriteria &criteria, Millis now);
 
     /** Of the targets that hold a part, a sound one with the fewest requests, to copy the part from. */
-    std::optional<GatewayTarget> copySource(const std::vector<TargetId> &holders, Millis now);
+    std::optional<GatewayTarget> findCopySource(const std::vector<TargetId> &holders, Millis now);
 
     /** A request goes to the target. */
-    void started(const TargetId &target);
+    void recordStart(const TargetId &target);
     /** The target sent something, to whichever request. */
-    void heard(const TargetId &target, Millis now);
+    void recordActivity(const TargetId &target, Millis now);
     /** When it last did; 0 for never. */
-    Millis lastHeard(const TargetId &target) const;
+    Millis lastActivity(const TargetId &target) const;
     /**
      * The target itself says that it leaves. That holds for this life of it whatever the store says: the store may be
      * away, or behind. @return whether that is new.
      */
-    bool saysItLeaves(const TargetId &target, Millis now);
+    bool markLeaving(const TargetId &target, Millis now);
     /**
      * The target turned a request away and wants none until then: it gets none, however few others there are. Of
      * several such words the longest holds, up to an hour.
      */
-    void asksForRest(const TargetId &target, Millis until, Millis now);
+    void setBackoff(const TargetId &target, Millis until, Millis now);
     /** Where all targets of the service that may be chosen want no request: how long until the first does. */
-    std::optional<Millis> restLeft(const PoolId &service, Millis now) const;
+    std::optional<Millis> remainingBackoff(const PoolId &service, Millis now) const;
     /** A request that the target answered took so long there. */
-    void answerTook(const TargetId &target, Millis took);
+    void recordAnswerTime(const TargetId &target, Millis elapsed);
     /** It is over there. */
-    void ended(const TargetId &target, AttemptMark mark, Millis now);
+    void recordEnd(const TargetId &target, TargetOutcome outcome, Millis now);
 
     /** A round of reports goes out: counts begin anew of what peers have not heard. */
     void beginRound();
@@ -116,15 +116,15 @@
     /** The same with what all peers but some have. */
     std::vector<GatewayLoad> loads(const std::vector<InstanceId> &without, Millis now);
     /** The platform lists another life under the target's name: what this one was sent is lost. */
-    bool isLifeOver(const GatewayTarget &target) const;
+    bool isReplaced(const GatewayTarget &target) const;
     /** The list has it, in this life; it may be leaving. */
     bool isListed(const TargetId &target) const;
     /** The same, and neither the store nor the target says that it leaves. */
-    bool isOffered(const TargetId &target) const;
+    bool isEligible(const TargetId &target) const;
     std::size_t targetCount(const PoolId &service) const;
     /** Requests in flight at the service's targets, and the places that these have. */
     std::uint64_t inFlight(const PoolId &service, Millis now) const;
-    std::uint64_t places(const PoolId &service) const;
+    std::uint64_t totalSlots(const PoolId &service) const;
 
 private:
     class Private;
--- a/sequoiausher/coordination/gateway/targetboardtest.cpp
+++ b/sequoiausher/coordination/gateway/targetboardtest.cpp
@@ -14,7 +14,7 @@
 
 const PoolId engines{"plate-llm"};
 
-std::vector<GatewayTarget> twelve()
+std::vector<GatewayTarget> twelveTargets()
 {
     std::vector<GatewayTarget> targets;
     for (int i = 0; i < 12; ++i) {
@@ -40,13 +40,13 @@
 
 TEST_CASE("requests that share a part go to one target, on every gateway")
 {
-    TargetBoard one(1);
-    TargetBoard other(2);
-    one.setTargets(twelve(), Millis{0});
-    other.setTargets(twelve(), Millis{0});
+    TargetBoard first(1);
+    TargetBoard second(2);
+    first.setTargets(twelveTargets(), Millis{0});
+    second.setTargets(twelveTargets(), Millis{0});
     for (std::uint64_t part = 1; part < 50; ++part) {
-        CHECK(one.choose(criteriaFor(part), Millis{0})->target.id
-              == other.choose(criteriaFor(part), Millis{0})->target.id);
+        CHECK(first.choose(criteriaFor(part), Millis{0})->target.id
+              == second.choose(criteriaFor(part), Millis{0})->target.id);
     }
 }
 
@@ -62,10 +62,10 @@
     std::vector<std::unique_ptr<TargetBoard>> gateways;
     for (std::uint64_t i = 0; i < gatewayCount; ++i) {
         gateways.push_back(std::make_unique<TargetBoard>(i));
-        gateways.back()->setTargets(twelve(), Millis{0});
+        gateways.back()->setTargets(twelveTargets(), Millis{0});
         gateways.back()->setOtherGateways(gatewayCount - 1);
     }
-    std::map<TargetId, int> held;
+    std::map<TargetId, int> inFlight;
     std::deque<std::pair<std::size_t, TargetId>> running;
     std::deque<bool> window;
     std::mt19937 random(1);
@@ -74,18 +74,18 @@
         if (running.size() >= lifeSteps) {
             const auto [by, target] = running.front();
             running.pop_front();
-            gateways[by]->ended(target, AttemptMark::Answered, now);
-            held[target] -= 1;
+            gateways[by]->recordEnd(target, TargetOutcome::Answered, now);
+            inFlight[target] -= 1;
         }
         const std::size_t by = random() % gatewayCount;
         const std::uint64_t part = random() % 3 == 0 ? 1 : 100 + random() % 80;
         const auto chosen = gateways[by]->choose(criteriaFor(part), now);
         REQUIRE(chosen);
-        gateways[by]->started(chosen->target.id);
-        held[chosen->target.id] += 1;
+        gateways[by]->recordStart(chosen->target.id);
+        inFlight[chosen->target.id] += 1;
         running.emplace_back(by, chosen->target.id);
         // What reaches a target that holds over twice the mean and three more, in any five seconds.
-        window.push_back(static_cast<std::size_t>(held[chosen->target.id]) * 12 > 2 * running.size() + 3 * 12);
+        window.push_back(static_cast<std::size_t>(inFlight[chosen->target.id]) * 12 > 2 * running.size() + 3 * 12);
         if (window.size() > 5000 / stepMs) {
             window.pop_front();
         }
@@ -96,7 +96,7 @@
                 gateways[from]->beginRound();
                 for (std::size_t to = 0; to < gatewayCount; ++to) {
                     if (from != to) {
-                        gateways[to]->peerReported(InstanceId{std::to_string(from)}, loads, now);
+                        gateways[to]->updatePeerLoads(InstanceId{std::to_string(from)}, loads, now);
                     }
                 }
             }
@@ -107,7 +107,7 @@
 TEST_CASE("leaving, full, failing and excluded targets are passed over")
 {
     TargetBoard board(1);
-    std::vector<GatewayTarget> targets = twelve();
+    std::vector<GatewayTarget> targets = twelveTargets();
     targets.resize(3);
     board.setTargets(targets, Millis{0});
     const TargetId first = board.choose(criteriaFor(7), Millis{0})->target.id;
@@ -115,14 +115,14 @@
     criteria.excluded = {first};
     CHECK(board.choose(criteria, Millis{0})->target.id != first);
 
-    board.started(first);
-    board.ended(first, AttemptMark::Full, Millis{0});
+    board.recordStart(first);
+    board.recordEnd(first, TargetOutcome::Full, Millis{0});
     CHECK(board.choose(criteriaFor(7), Millis{100})->target.id != first);
     CHECK(board.choose(criteriaFor(7), Millis{200})->target.id == first);
 
     for (int i = 0; i < 2; ++i) {
-        board.started(first);
-        board.ended(first, AttemptMark::Lost, Millis{200});
+        board.recordStart(first);
+        board.recordEnd(first, TargetOutcome::Lost, Millis{200});
     }
     CHECK(board.choose(criteriaFor(7), Millis{300})->target.id != first);
     CHECK(board.ownLoads(Millis{300}).front().suspected);
@@ -143,34 +143,34 @@
 TEST_CASE("a hub reports sums, to each without what it said itself")
 {
     TargetBoard board(1);
-    board.setTargets(twelve(), Millis{0});
-    board.started(TargetId{"i-1"});
-    board.peerReported(InstanceId{"p"}, {{TargetId{"i-1"}, 2, false}}, Millis{0});
-    board.peerReported(InstanceId{"q"}, {{TargetId{"i-1"}, 3, false}, {TargetId{"i-2"}, 1, false}}, Millis{0});
-    board.peerReported(InstanceId{"q"}, {{TargetId{"i-1"}, 4, false}, {TargetId{"i-2"}, 1, false}}, Millis{0});
+    board.setTargets(twelveTargets(), Millis{0});
+    board.recordStart(TargetId{"i-1"});
+    board.updatePeerLoads(InstanceId{"p"}, {{TargetId{"i-1"}, 2, false}}, Millis{0});
+    board.updatePeerLoads(InstanceId{"q"}, {{TargetId{"i-1"}, 3, false}, {TargetId{"i-2"}, 1, false}}, Millis{0});
+    board.updatePeerLoads(InstanceId{"q"}, {{TargetId{"i-1"}, 4, false}, {TargetId{"i-2"}, 1, false}}, Millis{0});
     CHECK(board.ownLoads(Millis{0}) == std::vector{GatewayLoad{TargetId{"i-1"}, 1, false}});
     CHECK(board.loads({InstanceId{"q"}}, Millis{0}) == std::vector{GatewayLoad{TargetId{"i-1"}, 3, false}});
     CHECK(board.loads({InstanceId{"p"}}, Millis{0})
           == std::vector{GatewayLoad{TargetId{"i-1"}, 5, false}, GatewayLoad{TargetId{"i-2"}, 1, false}});
-    board.setTargets(twelve(), Millis{0});
+    board.setTargets(twelveTargets(), Millis{0});
     CHECK(board.inFlight(engines, Millis{0}) == 8);
 }
 
 TEST_CASE("what a dead peer held is forgotten")
 {
     TargetBoard board(1);
-    board.setTargets(twelve(), Millis{0});
-    board.peerReported(InstanceId{"p"}, {{TargetId{"i-1"}, 9, false}}, Millis{0});
+    board.setTargets(twelveTargets(), Millis{0});
+    board.updatePeerLoads(InstanceId{"p"}, {{TargetId{"i-1"}, 9, false}}, Millis{0});
     CHECK(board.inFlight(engines, Millis{1000}) == 9);
     CHECK(board.inFlight(engines, Millis{2000}) == 0);
-    CHECK(board.places(engines) == 12 * 64);
+    CHECK(board.totalSlots(engines) == 12 * 64);
 }
 
 namespace {
 
-std::vector<GatewayTarget> oneLife(std::int64_t bornAt)
+std::vector<GatewayTarget> incarnationStartedAt(std::int64_t bornAt)
 {
-    GatewayTarget target = twelve().front();
+    GatewayTarget target = twelveTargets().front();
     target.bornAt = Millis{bornAt};
     target.id = targetLife(target.id, target.bornAt);
     return {target};
@@ -184,26 +184,26 @@
 TEST_CASE("nothing that is known of a life goes over to the next one")
 {
     TargetBoard board(1);
-    board.setTargets(oneLife(100), Millis{0});
-    const GatewayTarget before = oneLife(100).front();
-    const GatewayTarget after = oneLife(200).front();
-    board.started(before.id);
-    board.started(before.id);
-    board.ended(before.id, AttemptMark::Lost, Millis{10});
-    board.ended(before.id, AttemptMark::Lost, Millis{10});
-    board.started(before.id);
-    board.peerReported(InstanceId{"p"}, {{before.id, 7, true}}, Millis{10});
-    CHECK_FALSE(board.isLifeOver(before));
+    board.setTargets(incarnationStartedAt(100), Millis{0});
+    const GatewayTarget before = incarnationStartedAt(100).front();
+    const GatewayTarget after = incarnationStartedAt(200).front();
+    board.recordStart(before.id);
+    board.recordStart(before.id);
+    board.recordEnd(before.id, TargetOutcome::Lost, Millis{10});
+    board.recordEnd(before.id, TargetOutcome::Lost, Millis{10});
+    board.recordStart(before.id);
+    board.updatePeerLoads(InstanceId{"p"}, {{before.id, 7, true}}, Millis{10});
+    CHECK_FALSE(board.isReplaced(before));
     CHECK(board.isListed(before.id));
 
-    board.setTargets(oneLife(200), Millis{20});
-    CHECK(board.isLifeOver(before));
-    CHECK_FALSE(board.isLifeOver(after));
+    board.setTargets(incarnationStartedAt(200), Millis{20});
+    CHECK(board.isReplaced(before));
+    CHECK_FALSE(board.isReplaced(after));
     CHECK_FALSE(board.isListed(before.id));
     CHECK(board.isListed(after.id));
     CHECK_FALSE(board.isListed(TargetId{"never"}));
     // A report that was written before its sender heard of the new life, and one that comes out of order.
-    board.peerReported(InstanceId{"q"}, {{before.id, 5, true}}, Millis{20});
+    board.updatePeerLoads(InstanceId{"q"}, {{before.id, 5, true}}, Millis{20});
     const auto chosen = board.choose(criteriaFor(1), Millis{20});
     REQUIRE(chosen);
     CHECK(chosen->target == after);
@@ -213,8 +213,8 @@
     TargetCriteria criteria = criteriaFor(1);
     criteria.holders = {before.id};
     CHECK(board.choose(criteria, Millis{20})->target == after);
-    CHECK_FALSE(board.copySource({before.id}, Millis{20}));
-    board.ended(before.id, AttemptMark::Neutral, Millis{30});
+    CHECK_FALSE(board.findCopySource({before.id}, Millis{20}));
+    board.recordEnd(before.id, TargetOutcome::Neutral, Millis{30});
     CHECK(board.ownLoads(Millis{30}).empty());
 }
 
@@ -222,7 +222,7 @@
 TEST_CASE("a target that says that it leaves is not chosen again in that life, however it is listed")
 {
     TargetBoard board(1);
-    std::vector<GatewayTarget> targets = twelve();
+    std::vector<GatewayTarget> targets = twelveTargets();
     targets.resize(2);
     board.setTargets(targets, Millis{0});
     const auto isChosen = [&board](const TargetId &id, Millis now) {
@@ -236,13 +236,13 @@
     };
     const TargetId leaving = targets[0].id;
     CHECK(isChosen(leaving, Millis{10}));
-    board.started(leaving);
-    CHECK(board.saysItLeaves(leaving, Millis{20}));
-    CHECK_FALSE(board.saysItLeaves(leaving, Millis{30}));
+    board.recordStart(leaving);
+    CHECK(board.markLeaving(leaving, Millis{20}));
+    CHECK_FALSE(board.markLeaving(leaving, Millis{30}));
     CHECK_FALSE(isChosen(leaving, Millis{40}));
-    CHECK_FALSE(board.isOffered(leaving));
+    CHECK_FALSE(board.isEligible(leaving));
     CHECK(board.targetCount(engines) == 1);
-    board.ended(leaving, AttemptMark::Answered, Millis{50});
+    board.recordEnd(leaving, TargetOutcome::Answered, Millis{50});
     board.setTargets({targets[1]}, Millis{60});
     board.setTargets(targets, Millis{5000});
     CHECK_FALSE(isChosen(leaving, Millis{5010}));
@@ -256,16 +256,16 @@
 TEST_CASE("a target that asked for rest is not chosen before its end, whatever becomes of the others and the list")
 {
     TargetBoard board(1);
-    std::vector<GatewayTarget> targets = twelve();
+    std::vector<GatewayTarget> targets = twelveTargets();
     targets.resize(4);
     board.setTargets(targets, Millis{0});
-    const TargetId resting = targets[0].id;
-    board.asksForRest(resting, Millis{3000}, Millis{0});
-    board.asksForRest(resting, Millis{500}, Millis{100});
-    const auto isChosen = [&board, &resting](Millis now) {
+    const TargetId backingOff = targets[0].id;
+    board.setBackoff(backingOff, Millis{3000}, Millis{0});
+    board.setBackoff(backingOff, Millis{500}, Millis{100});
+    const auto isChosen = [&board, &backingOff](Millis now) {
         for (std::uint64_t part = 1; part < 50; ++part) {
             const auto chosen = board.choose(criteriaFor(part), now);
-            if (chosen && chosen->target.id == resting) {
+            if (chosen && chosen->target.id == backingOff) {
                 return true;
             }
         }
@@ -273,21 +273,21 @@
     };
     CHECK_FALSE(isChosen(Millis{200}));
     for (std::size_t i = 1; i < targets.size(); ++i) {
-        board.started(targets[i].id);
-        board.ended(targets[i].id, AttemptMark::Full, Millis{290});
+        board.recordStart(targets[i].id);
+        board.recordEnd(targets[i].id, TargetOutcome::Full, Millis{290});
     }
     CHECK(board.choose(criteriaFor(1), Millis{300}));
     CHECK_FALSE(isChosen(Millis{300}));
     board.setTargets({targets[1]}, Millis{400});
     board.setTargets(targets, Millis{500});
     CHECK_FALSE(isChosen(Millis{2999}));
-    CHECK_FALSE(board.restLeft(engines, Millis{600}));
+    CHECK_FALSE(board.remainingBackoff(engines, Millis{600}));
     for (std::size_t i = 1; i < targets.size(); ++i) {
-        board.asksForRest(targets[i].id, Millis{5000}, Millis{600});
+        board.setBackoff(targets[i].id, Millis{5000}, Millis{600});
     }
-    CHECK(board.restLeft(engines, Millis{1000}) == Millis{2000});
+    CHECK(board.remainingBackoff(engines, Millis{1000}) == Millis{2000});
     CHECK_FALSE(board.choose(criteriaFor(1), Millis{1000}));
     CHECK(isChosen(Millis{3000}));
-    board.asksForRest(resting, Millis::never(), Millis{4000});
+    board.setBackoff(backingOff, Millis::never(), Millis{4000});
     CHECK(isChosen(Millis{4000 + 3600000}));
 }
--- a/sequoiausher/coordination/gateway/targethealthscore.h
+++ b/sequoiausher/coordination/gateway/targethealthscore.h
@@ -5,7 +5,7 @@
 //
 //     TargetHealthScore health;
 //     health.failed(now, FailureWeight::Heavy);
-//     if (health.isAvoided(now)) { ... }
+//     if (health.isEjected(now)) { ... }
 
 #include "sequoiausher/base/millis.h"
 
@@ -25,21 +25,21 @@
 class TargetHealthScore
 {
 public:
-    void succeeded(Millis now);
-    void failed(Millis now, FailureWeight weight);
+    void recordSuccess(Millis now);
+    void recordFailure(Millis now, FailureWeight weight);
     /** A peer keeps away from the target. */
-    void suspectedByPeer(Millis now);
+    void recordPeerSuspicion(Millis now);
 
     /** Whether requests should go elsewhere. */
-    bool isAvoided(Millis now) const;
+    bool isEjected(Millis now) const;
 
 private:
-    void avoid(Millis now);
+    void eject(Millis now);
 
-    double share = 0;
-    std::uint32_t inARow = 0;
-    std::uint32_t pauses = 0;
-    Millis avoidedUntil;
+    double failureRate = 0;
+    std::uint32_t consecutiveFailures = 0;
+    std::uint32_t ejections = 0;
+    Millis ejectedUntil;
 };
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/gateway/targethealthscoretest.cpp
+++ b/sequoiausher/coordination/gateway/targethealthscoretest.cpp
@@ -7,17 +7,17 @@
 TEST_CASE("two requests without an answer keep others away, for longer each time")
 {
     TargetHealthScore health;
-    health.failed(Millis{0}, FailureWeight::Heavy);
-    CHECK_FALSE(health.isAvoided(Millis{0}));
-    health.failed(Millis{0}, FailureWeight::Heavy);
-    CHECK(health.isAvoided(Millis{399}));
-    CHECK_FALSE(health.isAvoided(Millis{400}));
-    health.failed(Millis{400}, FailureWeight::Heavy);
-    CHECK(health.isAvoided(Millis{1199}));
-    CHECK_FALSE(health.isAvoided(Millis{1200}));
-    health.succeeded(Millis{1200});
-    health.failed(Millis{1300}, FailureWeight::Heavy);
-    CHECK_FALSE(health.isAvoided(Millis{1300}));
+    health.recordFailure(Millis{0}, FailureWeight::Heavy);
+    CHECK_FALSE(health.isEjected(Millis{0}));
+    health.recordFailure(Millis{0}, FailureWeight::Heavy);
+    CHECK(health.isEjected(Millis{399}));
+    CHECK_FALSE(health.isEjected(Millis{400}));
+    health.recordFailure(Millis{400}, FailureWeight::Heavy);
+    CHECK(health.isEjected(Millis{1199}));
+    CHECK_FALSE(health.isEjected(Millis{1200}));
+    health.recordSuccess(Millis{1200});
+    health.recordFailure(Millis{1300}, FailureWeight::Heavy);
+    CHECK_FALSE(health.isEjected(Millis{1300}));
 }
 
 TEST_CASE("failures that a service always has keep nobody away")
@@ -25,14 +25,14 @@
     TargetHealthScore health;
     for (int i = 0; i < 1000; ++i) {
         if (i % 7 == 0) {
-            health.failed(Millis{i}, FailureWeight::Light);
+            health.recordFailure(Millis{i}, FailureWeight::Light);
         } else {
-            health.succeeded(Millis{i});
+            health.recordSuccess(Millis{i});
         }
-        CHECK_FALSE(health.isAvoided(Millis{i}));
+        CHECK_FALSE(health.isEjected(Millis{i}));
     }
     for (int i = 0; i < 8; ++i) {
-        health.failed(Millis{2000}, FailureWeight::Light);
+        health.recordFailure(Millis{2000}, FailureWeight::Light);
     }
-    CHECK(health.isAvoided(Millis{2000}));
+    CHECK(health.isEjected(Millis{2000}));
 }
--- a/sequoiausher/coordination/gateway/targetlist.cpp
+++ b/sequoiausher/coordination/gateway/targetlist.cpp
@@ -10,25 +10,25 @@
 namespace {
 
 /** Targets that are gone are remembered for peers that still have them; beyond so many those get the whole list. */
-constexpr std::size_t mostGone = 4096;
+constexpr std::size_t maxGoneTargets = 4096;
 
 /** The last life of a target of which no word told. */
-constexpr Millis anyLife = Millis::never();
+constexpr Millis unknownStartTime = Millis::never();
 
-bool isOfEarlierLife(const GatewayTarget &target, const GatewayTarget &known)
+bool isOfEarlierIncarnation(const GatewayTarget &target, const GatewayTarget &current)
 {
-    return target.bornAt != Millis{0} && target.bornAt < known.bornAt;
+    return target.bornAt != Millis{0} && target.bornAt < current.bornAt;
 }
 
 /** The target as written, in the known life where it tells none. */
-GatewayTarget inKnownLife(const GatewayTarget &target, const GatewayTarget &known)
+GatewayTarget withKnownIncarnation(const GatewayTarget &target, const GatewayTarget &current)
 {
-    GatewayTarget living = target;
-    if (target.bornAt == Millis{0} && known.bornAt != Millis{0}) {
-        living.bornAt = known.bornAt;
-        living.id = known.id;
+    GatewayTarget result = target;
+    if (target.bornAt == Millis{0} && current.bornAt != Millis{0}) {
+        result.bornAt = current.bornAt;
+        result.id = current.id;
     }
-    return living;
+    return result;
 }
 
 } // namespace
@@ -38,13 +38,13 @@
     const TargetId name = listedName(target);
     Entry &entry = this->entries[name];
     this->gone.erase(name);
-    if (isOfEarlierLife(target, entry.target)) {
+    if (isOfEarlierIncarnation(target, entry.target)) {
         return;
     }
-    this->missingCount -= entry.missingSince ? 1 : 0;
+    this->missingEntryCount -= entry.missingSince ? 1 : 0;
     entry.missingSince.reset();
     entry.removedAt = 0;
-    const GatewayTarget written = inKnownLife(target, entry.target);
+    const GatewayTarget written = withKnownIncarnation(target, entry.target);
     if (entry.changedAt == 0 || !(entry.target == written)) {
         entry.target = written;
         entry.changedAt = at;
@@ -52,16 +52,17 @@
     }
 }
 
-bool TargetList::isCopied(const GatewayTarget &target, Revision at) const
+bool TargetList::isRestoredCopy(const GatewayTarget &target, Revision at) const
 {
     const TargetId name = listedName(target);
-    const auto isOfLifeUpTo = [&target](Millis born) { return target.bornAt == Millis{0} || target.bornAt <= born; };
-    const auto left = this->gone.find(name);
-    if (left != this->gone.end()) {
-        return eraOf(at) > eraOf(left->second.at) && isOfLifeUpTo(left->second.bornAt);
+    const auto isOfIncarnationUpTo
+        = [&target](Millis born) { return target.bornAt == Millis{0} || target.bornAt <= born; };
+    const auto goneTarget = this->gone.find(name);
+    if (goneTarget != this->gone.end()) {
+        return eraOf(at) > eraOf(goneTarget->second.at) && isOfIncarnationUpTo(goneTarget->second.bornAt);
     }
     const auto entry = this->entries.find(name);
-    if (entry == this->entries.end() || !isOfLifeUpTo(entry->second.target.bornAt)) {
+    if (entry == this->entries.end() || !isOfIncarnationUpTo(entry->second.target.bornAt)) {
         return false;
     }
     const bool isRemoved = entry->second.removedAt != 0 && eraOf(at) > eraOf(entry->second.removedAt);
@@ -71,7 +72,7 @@
 
 void TargetList::erase(std::map<TargetId, Entry>::iterator entry, Revision at)
 {
-    this->missingCount -= entry->second.missingSince ? 1 : 0;
+    this->missingEntryCount -= entry->second.missingSince ? 1 : 0;
     this->noteGone(entry->first, at, entry->second.target.bornAt);
     this->entries.erase(entry);
 }
@@ -82,7 +83,7 @@
     std::set<TargetId> listed;
     for (const GatewayTarget &target : targets) {
         listed.insert(listedName(target));
-        if (!this->isCopied(target, at)) {
+        if (!this->isRestoredCopy(target, at)) {
             this->write(target, at);
         }
     }
@@ -97,21 +98,21 @@
 
 void TargetList::replaceAll(const std::vector<GatewayTarget> &targets, Revision at, Millis now)
 {
-    this->firstReadAt = this->firstReadAt.value_or(now);
+    this->firstFullReadAt = this->firstFullReadAt.value_or(now);
     for (const auto &entry : this->writeAll(targets, at)) {
-        this->drop(entry, at, now);
+        this->removeOrKeep(entry, at, now);
     }
     this->noteReturn(at);
-    this->jumpedTo(at);
+    this->setCompleteUpTo(at);
 }
 
-void TargetList::jumpedTo(Revision at)
+void TargetList::setCompleteUpTo(Revision at)
 {
     // A target that came and went in between was never seen here: whoever has it must get the whole list.
-    if (at > this->known) {
-        this->goneKnownSince = at;
+    if (at > this->completeRevision) {
+        this->goneCompleteSince = at;
     }
-    this->known = std::max(this->known, at);
+    this->completeRevision = std::max(this->completeRevision, at);
 }
 
 // What goes wrong where an answer from before a peer's word is believed: an entry that went comes back, or a new one
@@ -119,7 +120,7 @@
 // target that has left long since.
 bool TargetList::isOutdated(Revision at) const
 {
-    return at < this->known;
+    return at < this->completeRevision;
 }
 
 void TargetList::put(const GatewayTarget &target, Revision at)
@@ -129,10 +130,10 @@
     }
     this->noteReturn(at);
     this->write(target, at);
-    this->known = at;
+    this->completeRevision = at;
 }
 
-void TargetList::removed(const TargetId &name, Revision at, Millis now)
+void TargetList::remove(const TargetId &name, Revision at, Millis now)
 {
     if (this->isOutdated(at)) {
         return;
@@ -141,15 +142,15 @@
     // All changes of one answer come with its revision.
     this->noteReturn(at);
     if (entry != this->entries.end()) {
-        this->drop(entry, at, now);
+        this->removeOrKeep(entry, at, now);
     } else {
         // It came and went between two answers; a copy of the store may still list it.
-        this->noteGone(name, at, anyLife);
+        this->noteGone(name, at, unknownStartTime);
     }
-    this->known = at;
+    this->completeRevision = at;
 }
 
-void TargetList::unreadable(const TargetId &name, Revision at)
+void TargetList::removeUnreadable(const TargetId &name, Revision at)
 {
     if (this->isOutdated(at)) {
         return;
@@ -158,10 +159,10 @@
     if (entry != this->entries.end()) {
         this->erase(entry, at);
     }
-    this->known = at;
+    this->completeRevision = at;
 }
 
-void TargetList::drop(std::map<TargetId, Entry>::iterator entry, Revision at, Millis now)
+void TargetList::removeOrKeep(std::map<TargetId, Entry>::iterator entry, Revision at, Millis now)
 {
     // One that said it would leave has left, whatever the store went through.
     if (entry->second.target.isLeaving || this->isGraceOver(now)) {
@@ -169,24 +170,24 @@
     } else if (!entry->second.missingSince) {
         entry->second.missingSince = now;
         entry->second.removedAt = this->isAfterReturn(at) ? at : 0;
-        const Millis settled = this->returnedAt ? *this->returnedAt + lapsedEntryGrace : Millis::never();
+        const Millis settled = this->returnedAt ? *this->returnedAt + expiredEntryGrace : Millis::never();
         entry->second.keptUntil = this->lostAt ? Millis::never() : settled;
         if (entry->second.removedAt != 0) {
-            entry->second.keptUntil = std::min(settled, now + this->leaveBound / lateRemovalParts);
+            entry->second.keptUntil = std::min(settled, now + this->leaveBound / lateRemovalBoundDivisor);
         }
-        this->missingCount += 1;
+        this->missingEntryCount += 1;
     }
 }
 
 bool TargetList::isAfterReturn(Revision at) const
 {
-    return !this->lostAt && this->returnedAt && this->returnedWith != 0 && at > this->returnedWith;
+    return !this->lostAt && this->returnedAt && this->revisionOnReturn != 0 && at > this->revisionOnReturn;
 }
 
 void TargetList::noteReturn(Revision at)
 {
-    if (this->returnedAt && this->returnedWith == 0) {
-        this->returnedWith = at;
+    if (this->returnedAt && this->revisionOnReturn == 0) {
+        this->revisionOnReturn = at;
     }
 }
 
@@ -194,44 +195,44 @@
 {
     this->gone[name] = {at, bornAt};
     this->lastChange = std::max(this->lastChange, at);
-    if (this->gone.size() <= mostGone) {
+    if (this->gone.size() <= maxGoneTargets) {
         return;
     }
     const auto oldest = std::min_element(
         this->gone.begin(), this->gone.end(), [](const auto &a, const auto &b) { return a.second.at < b.second.at; });
-    this->goneKnownSince = oldest->second.at + 1;
+    this->goneCompleteSince = oldest->second.at + 1;
     this->gone.erase(oldest);
 }
 
 bool TargetList::isGraceOver(Millis now) const
 {
     if (this->lostAt) {
-        return now < *this->lostAt + shortestLapse;
+        return now < *this->lostAt + minStoreOutage;
     }
-    return !this->returnedAt || now >= *this->returnedAt + lapsedEntryGrace;
+    return !this->returnedAt || now >= *this->returnedAt + expiredEntryGrace;
 }
 
-void TargetList::adopt(const std::vector<GatewayTarget> &targets, Revision at)
+void TargetList::replaceFromPeer(const std::vector<GatewayTarget> &targets, Revision at)
 {
     for (const auto &entry : this->writeAll(targets, at)) {
         this->erase(entry, at);
     }
-    this->jumpedTo(at);
+    this->setCompleteUpTo(at);
 }
 
-std::optional<TargetChanges> TargetList::changesSince(Revision from) const
+std::optional<TargetChanges> TargetList::findChangesSince(Revision from) const
 {
-    if (from == 0 || from < this->goneKnownSince || this->hasMissing()) {
+    if (from == 0 || from < this->goneCompleteSince || this->hasMissing()) {
         return std::nullopt;
     }
-    TargetChanges changes{from, this->known, {}, {}};
+    TargetChanges changes{from, this->completeRevision, {}, {}};
     for (const auto &[name, entry] : this->entries) {
         if (entry.changedAt > from) {
             changes.written.push_back(entry.target);
         }
     }
-    for (const auto &[name, left] : this->gone) {
-        if (left.at >= from) {
+    for (const auto &[name, goneTarget] : this->gone) {
+        if (goneTarget.at >= from) {
             changes.gone.push_back(name);
         }
     }
@@ -240,7 +241,7 @@
 
 bool TargetList::apply(const TargetChanges &changes)
 {
-    if (changes.from > this->known || changes.to < this->known) {
+    if (changes.from > this->completeRevision || changes.to < this->completeRevision) {
         return false;
     }
     for (const TargetId &name : changes.gone) {
@@ -248,20 +249,20 @@
         if (entry != this->entries.end()) {
             this->erase(entry, changes.to);
         } else {
-            this->noteGone(name, changes.to, anyLife);
+            this->noteGone(name, changes.to, unknownStartTime);
         }
     }
     for (const GatewayTarget &target : changes.written) {
         this->write(target, changes.to);
     }
-    this->known = changes.to;
+    this->completeRevision = changes.to;
     return true;
 }
 
-Revision TargetList::revisionToTell() const
+Revision TargetList::shareableRevision() const
 {
     constexpr Revision old = 1;
-    return this->hasMissing() ? old : this->known;
+    return this->hasMissing() ? old : this->completeRevision;
 }
 
 Revision TargetList::changedAt() const
@@ -269,9 +270,9 @@
     return this->lastChange;
 }
 
-Millis TargetList::letGoAt() const
+Millis TargetList::lastExpiryAt() const
 {
-    return this->lastLetGo;
+    return this->lastExpiry;
 }
 
 void TargetList::storeLost(Millis now)
@@ -281,7 +282,7 @@
 
 void TargetList::storeReturned(Millis now)
 {
-    if (this->lostAt && now >= *this->lostAt + shortestLapse) {
+    if (this->lostAt && now >= *this->lostAt + minStoreOutage) {
         this->beginGrace(now);
     }
     this->lostAt.reset();
@@ -290,10 +291,10 @@
 void TargetList::beginGrace(Millis now)
 {
     this->returnedAt = now;
-    this->returnedWith = 0;
+    this->revisionOnReturn = 0;
     for (auto &[name, entry] : this->entries) {
         if (entry.removedAt == 0) {
-            entry.keptUntil = now + lapsedEntryGrace;
+            entry.keptUntil = now + expiredEntryGrace;
         }
     }
 }
@@ -309,9 +310,9 @@
     this->leaveBound = bound;
 }
 
-void TargetList::peerIsSettled(Revision at, Millis askedAt)
+void TargetList::confirmSettledByPeer(Revision at, Millis askedAt)
 {
-    if (this->lostAt || !this->returnedAt || askedAt < *this->returnedAt || at < this->known) {
+    if (this->lostAt || !this->returnedAt || askedAt < *this->returnedAt || at < this->completeRevision) {
         return;
     }
     this->returnedAt.reset();
@@ -322,21 +323,21 @@
 
 bool TargetList::isSettled(Millis now) const
 {
-    const bool isLongThere = this->firstReadAt && now >= *this->firstReadAt + lapsedEntryGrace;
-    return isLongThere && !this->lostAt && this->isGraceOver(now) && !this->hasMissing();
+    const bool isPastStartupGrace = this->firstFullReadAt && now >= *this->firstFullReadAt + expiredEntryGrace;
+    return isPastStartupGrace && !this->lostAt && this->isGraceOver(now) && !this->hasMissing();
 }
 
 bool TargetList::tick(Millis now)
 {
-    if (this->lostAt || this->missingCount == 0) {
+    if (this->lostAt || this->missingEntryCount == 0) {
         return false;
     }
     const std::size_t before = this->entries.size();
     for (auto entry = this->entries.begin(); entry != this->entries.end();) {
         const auto next = std::next(entry);
         if (entry->second.missingSince && now >= entry->second.keptUntil) {
-            this->erase(entry, this->known);
-            this->lastLetGo = now;
+            this->erase(entry, this->completeRevision);
+            this->lastExpiry = now;
         }
         entry = next;
     }
@@ -345,7 +346,7 @@
 
 Revision TargetList::revision() const
 {
-    return this->known;
+    return this->completeRevision;
 }
 
 std::vector<GatewayTarget> TargetList::targets() const
@@ -365,7 +366,7 @@
 
 bool TargetList::hasMissing() const
 {
-    return this->missingCount > 0;
+    return this->missingEntryCount > 0;
 }
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/gateway/targetlist.h
+++ b/sequoiausher/coordination/gateway/targetlist.h
@@ -33,11 +33,11 @@
  * Entries lapse after three heartbeats of several hundred milliseconds at least, so an absence of the store that was
  * shorter than this one took none with it. A call that fails once delays no news of a target that left.
  */
-inline constexpr Millis shortestLapse{2000};
+inline constexpr Millis minStoreOutage{2000};
 /** How long after the store's return an entry that lapsed may take to come back: two seconds, and a call's delay. */
-inline constexpr Millis lapsedEntryGrace{2300};
+inline constexpr Millis expiredEntryGrace{2300};
 /** The part of the bound for leaving targets for which an entry that the store removes after its return is kept. */
-inline constexpr std::int64_t lateRemovalParts = 2;
+inline constexpr std::int64_t lateRemovalBoundDivisor = 2;
 
 /** What becomes of a list between two revisions of the store. */
 struct TargetChanges
@@ -66,15 +66,15 @@
      */
     void put(const GatewayTarget &target, Revision at);
     /** The entry of that name was removed. */
-    void removed(const TargetId &name, Revision at, Millis now);
+    void remove(const TargetId &name, Revision at, Millis now);
     /**
      * What lies under that name cannot be read: it names no target. Unlike one that lapsed it is not kept during an
      * outage, since the store had it written.
      */
-    void unreadable(const TargetId &name, Revision at);
+    void removeUnreadable(const TargetId &name, Revision at);
 
     /** A peer that reaches the store says that this is all, where this gateway does not reach it. */
-    void adopt(const std::vector<GatewayTarget> &targets, Revision at);
+    void replaceFromPeer(const std::vector<GatewayTarget> &targets, Revision at);
 
     /**
      * What a list that is complete up to from lacks; nothing where that cannot be told, since from is too long ago, or
@@ -82,18 +82,18 @@
      * did not come back after an outage is gone at the revision that the list had then, so peers that have the
      * same revision may lack it too.
      */
-    std::optional<TargetChanges> changesSince(Revision from) const;
+    std::optional<TargetChanges> findChangesSince(Revision from) const;
     /** Takes over changes, unless they begin after what this list has or end before; whether it did. */
     bool apply(const TargetChanges &changes);
     /**
      * Up to which revision a gateway without any list may take this one for complete: an old one, which everybody
      * else's replaces, where an entry is only kept since it may come back.
      */
-    Revision revisionToTell() const;
+    Revision shareableRevision() const;
     /** The revision at which an entry was last written or removed. */
     Revision changedAt() const;
     /** When tick() last let entries go. */
-    Millis letGoAt() const;
+    Millis lastExpiryAt() const;
 
     /** Within so long after the store's word no leaving target may get anything. */
     void setLeaveBound(Millis bound);
@@ -101,7 +101,7 @@
      * A peer whose list has been settled ever since vouches for it up to at, in a report that answers one of askedAt:
      * the store was there, only this gateway did not reach it, so no entry has lapsed.
      */
-    void peerIsSettled(Revision at, Millis askedAt);
+    void confirmSettledByPeer(Revision at, Millis askedAt);
     /** Whether the store was never away lately, as far as this gateway knows: nothing is missing that may come back. */
     bool isSettled(Millis now) const;
 
@@ -149,35 +149,35 @@
     bool isOutdated(Revision at) const;
     void write(const GatewayTarget &target, Revision at);
     /** Whether a list of a later era than the target's last word shows it as it was before. */
-    bool isCopied(const GatewayTarget &target, Revision at) const;
+    bool isRestoredCopy(const GatewayTarget &target, Revision at) const;
     /** Writes all of them; the entries that are not among them. */
     std::vector<std::map<TargetId, Entry>::iterator> writeAll(const std::vector<GatewayTarget> &targets, Revision at);
     void erase(std::map<TargetId, Entry>::iterator entry, Revision at);
     /** An answer of the store that tells all up to at: the first one after its return tells of its absence. */
     void noteReturn(Revision at);
-    void drop(std::map<TargetId, Entry>::iterator entry, Revision at, Millis now);
+    void removeOrKeep(std::map<TargetId, Entry>::iterator entry, Revision at, Millis now);
     void noteGone(const TargetId &name, Revision at, Millis bornAt);
     /** The list is complete up to at, without what happened on the way. */
-    void jumpedTo(Revision at);
+    void setCompleteUpTo(Revision at);
 
     /** By the names under which the platform lists them. */
     std::map<TargetId, Entry> entries;
     /** Names of targets that are gone, with the revision at which they went and their last life. */
     std::map<TargetId, Gone> gone;
     /** What went before this revision is forgotten. */
-    Revision goneKnownSince = 0;
+    Revision goneCompleteSince = 0;
     /** Entries that are only kept since they may come back. */
-    std::size_t missingCount = 0;
-    Revision known = 0;
+    std::size_t missingEntryCount = 0;
+    Revision completeRevision = 0;
     Revision lastChange = 0;
-    Millis lastLetGo;
+    Millis lastExpiry;
     Millis leaveBound{2000};
     std::optional<Millis> lostAt;
     std::optional<Millis> returnedAt;
     /** What the first answer after the store's return told all up to; 0 before it. */
-    Revision returnedWith = 0;
+    Revision revisionOnReturn = 0;
     /** When the store was first heard of. */
-    std::optional<Millis> firstReadAt;
+    std::optional<Millis> firstFullReadAt;
 };
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/gateway/targetlisttest.cpp
+++ b/sequoiausher/coordination/gateway/targetlisttest.cpp
@@ -29,7 +29,7 @@
     list.replaceAll({targetOf("a"), targetOf("b")}, 5, Millis{0});
     list.storeLost(Millis{1000});
     list.storeReturned(Millis{1200});
-    list.removed(TargetId{"a"}, 6, Millis{1250});
+    list.remove(TargetId{"a"}, 6, Millis{1250});
     CHECK(list.targets() == std::vector{targetOf("b")});
 }
 
@@ -38,7 +38,7 @@
     TargetList list;
     list.replaceAll({targetOf("a"), targetOf("b")}, 5, Millis{0});
     list.storeLost(Millis{1000});
-    list.adopt({targetOf("b"), targetOf("c")}, 9);
+    list.replaceFromPeer({targetOf("b"), targetOf("c")}, 9);
     CHECK(list.targets() == std::vector{targetOf("b"), targetOf("c")});
     CHECK(list.revision() == 9);
 }
@@ -47,7 +47,7 @@
 {
     TargetList list;
     list.replaceAll({targetOf("a"), targetOf("b")}, 5, Millis{0});
-    list.removed(TargetId{"a"}, 6, Millis{10});
+    list.remove(TargetId{"a"}, 6, Millis{10});
     CHECK(list.targets() == std::vector{targetOf("b")});
     CHECK(list.revision() == 6);
 }
@@ -75,7 +75,7 @@
     {
         CHECK(list.tick(Millis{11300}));
         CHECK(list.targets() == std::vector{targetOf("b")});
-        list.removed(TargetId{"b"}, 11, Millis{12000});
+        list.remove(TargetId{"b"}, 11, Millis{12000});
         CHECK(list.empty());
     }
 }
@@ -92,7 +92,7 @@
         list.storeReturned(Millis{13930});
         list.replaceAll({targetOf("a"), targetOf("b")}, 20, Millis{13930});
         const Millis removedAt = Millis{13930 + after};
-        list.removed(TargetId{"a"}, 22, removedAt);
+        list.remove(TargetId{"a"}, 22, removedAt);
         for (Millis now = removedAt; now < removedAt + leaveBound - Millis{200}; now += Millis{40}) {
             list.tick(now);
         }
@@ -115,27 +115,27 @@
     CHECK_FALSE(list.isSettled(Millis{9100}));
     SUBCASE("one whose list has not come as far does not")
     {
-        list.peerIsSettled(8, Millis{9100});
+        list.confirmSettledByPeer(8, Millis{9100});
         CHECK_FALSE(list.tick(Millis{9200}));
     }
     SUBCASE("nor one whose word may be of before the return")
     {
-        list.peerIsSettled(9, Millis{8900});
+        list.confirmSettledByPeer(9, Millis{8900});
         CHECK_FALSE(list.tick(Millis{9200}));
     }
     SUBCASE("nor any while this gateway is without the store again")
     {
         list.storeLost(Millis{9050});
-        list.peerIsSettled(9, Millis{9100});
+        list.confirmSettledByPeer(9, Millis{9100});
         list.storeReturned(Millis{9150});
         CHECK_FALSE(list.tick(Millis{9200}));
     }
     SUBCASE("another one does")
     {
-        list.peerIsSettled(9, Millis{9100});
+        list.confirmSettledByPeer(9, Millis{9100});
         CHECK(list.tick(Millis{9200}));
         CHECK(list.targets() == std::vector{targetOf("b")});
-        list.removed(TargetId{"b"}, 10, Millis{9300});
+        list.remove(TargetId{"b"}, 10, Millis{9300});
         CHECK(list.empty());
     }
 }
@@ -145,10 +145,10 @@
     TargetList first;
     TargetList second;
     first.replaceAll({targetOf("a"), targetOf("b")}, 5, Millis{0});
-    CHECK_FALSE(first.changesSince(0));
-    second.adopt(first.targets(), first.revision());
-    const auto follow = [&] {
-        const auto changes = first.changesSince(second.revision());
+    CHECK_FALSE(first.findChangesSince(0));
+    second.replaceFromPeer(first.targets(), first.revision());
+    const auto followChanges = [&] {
+        const auto changes = first.findChangesSince(second.revision());
         REQUIRE(changes);
         CHECK(second.apply(*changes));
         CHECK(second.targets() == first.targets());
@@ -156,20 +156,20 @@
         return changes->written.size() + changes->gone.size();
     };
     first.put(targetOf("c"), 6);
-    CHECK(follow() == 1);
+    CHECK(followChanges() == 1);
     first.put(targetOf("a", true), 7);
-    first.removed(TargetId{"b"}, 8, Millis{10});
-    CHECK(follow() == 2);
+    first.remove(TargetId{"b"}, 8, Millis{10});
+    CHECK(followChanges() == 2);
     first.put(targetOf("d"), 12);
-    first.removed(TargetId{"a"}, 12, Millis{20});
+    first.remove(TargetId{"a"}, 12, Millis{20});
     // What went at the follower's own revision is told once more.
-    CHECK(follow() == 3);
+    CHECK(followChanges() == 3);
     // One that is removed and written again in the same answer of the store is there.
-    first.removed(TargetId{"d"}, 13, Millis{30});
+    first.remove(TargetId{"d"}, 13, Millis{30});
     first.put(targetOf("d"), 13);
-    follow();
+    followChanges();
     CHECK(second.targets().size() == 2);
-    CHECK(first.changesSince(13)->gone.empty());
+    CHECK(first.findChangesSince(13)->gone.empty());
     // Old and far changes are left alone.
     CHECK_FALSE(second.apply({20, 21, {}, {}}));
     CHECK_FALSE(second.apply({3, 12, {}, {TargetId{"c"}}}));
@@ -186,12 +186,12 @@
     first.replaceAll({targetOf("a"), targetOf("b")}, 5, Millis{0});
     first.storeLost(Millis{1000});
     first.storeReturned(Millis{5000});
-    first.removed(TargetId{"b"}, 6, Millis{5010});
-    second.adopt(first.targets(), first.revision());
+    first.remove(TargetId{"b"}, 6, Millis{5010});
+    second.replaceFromPeer(first.targets(), first.revision());
     CHECK(second.targets().size() == 2);
-    CHECK(first.tick(Millis{5000} + lapsedEntryGrace));
-    CHECK(first.letGoAt() == Millis{5000} + lapsedEntryGrace);
-    CHECK(second.apply(*first.changesSince(second.revision())));
+    CHECK(first.tick(Millis{5000} + expiredEntryGrace));
+    CHECK(first.lastExpiryAt() == Millis{5000} + expiredEntryGrace);
+    CHECK(second.apply(*first.findChangesSince(second.revision())));
     CHECK(second.targets() == std::vector{targetOf("a")});
 }
 
@@ -206,26 +206,26 @@
     {
         TargetList fresh;
         fresh.replaceAll({targetOf("a"), targetOf("new")}, 10, Millis{0});
-        CHECK_FALSE(fresh.changesSince(8));
-        CHECK(fresh.changesSince(10));
+        CHECK_FALSE(fresh.findChangesSince(8));
+        CHECK(fresh.findChangesSince(10));
     }
     SUBCASE("since it read the list again")
     {
         TargetList jumped;
         jumped.replaceAll({targetOf("a")}, 5, Millis{0});
         jumped.replaceAll({targetOf("a"), targetOf("new")}, 10, Millis{0});
-        CHECK_FALSE(jumped.changesSince(8));
-        jumped.adopt({targetOf("a")}, 14);
-        CHECK_FALSE(jumped.changesSince(12));
-        CHECK(jumped.changesSince(14));
+        CHECK_FALSE(jumped.findChangesSince(8));
+        jumped.replaceFromPeer({targetOf("a")}, 14);
+        CHECK_FALSE(jumped.findChangesSince(12));
+        CHECK(jumped.findChangesSince(14));
     }
     SUBCASE("but passes on what it was told of targets that it never had")
     {
         TargetList third;
         third.replaceAll({targetOf("a")}, 5, Millis{0});
         CHECK(third.apply({5, 10, {}, {TargetId{"gone"}}}));
-        REQUIRE(third.changesSince(8));
-        CHECK(behind.apply(*third.changesSince(8)));
+        REQUIRE(third.findChangesSince(8));
+        CHECK(behind.apply(*third.findChangesSince(8)));
         CHECK(behind.targets() == std::vector{targetOf("a")});
     }
 }
@@ -238,32 +238,32 @@
 {
     TargetList hub;
     hub.replaceAll({targetOf("a"), targetOf("b")}, 5, Millis{0});
-    CHECK(hub.revisionToTell() == 5);
+    CHECK(hub.shareableRevision() == 5);
     hub.storeLost(Millis{1000});
     hub.storeReturned(Millis{5000});
-    hub.removed(TargetId{"b"}, 6, Millis{5010});
+    hub.remove(TargetId{"b"}, 6, Millis{5010});
     hub.put(targetOf("c"), 7);
     CHECK(hub.hasMissing());
-    CHECK_FALSE(hub.changesSince(5));
-    CHECK(hub.revisionToTell() == 1);
+    CHECK_FALSE(hub.findChangesSince(5));
+    CHECK(hub.shareableRevision() == 1);
     SUBCASE("until it is let go")
     {
-        CHECK(hub.tick(Millis{5000} + lapsedEntryGrace));
-        REQUIRE(hub.changesSince(5));
-        CHECK(hub.changesSince(5)->gone == std::vector{TargetId{"b"}});
+        CHECK(hub.tick(Millis{5000} + expiredEntryGrace));
+        REQUIRE(hub.findChangesSince(5));
+        CHECK(hub.findChangesSince(5)->gone == std::vector{TargetId{"b"}});
     }
     SUBCASE("until it is back")
     {
         hub.put(targetOf("b"), 8);
         CHECK_FALSE(hub.hasMissing());
-        CHECK(hub.changesSince(7));
+        CHECK(hub.findChangesSince(7));
     }
-    CHECK(hub.revisionToTell() >= 7);
+    CHECK(hub.shareableRevision() >= 7);
 }
 
 namespace {
 
-GatewayTarget lifeOf(const std::string &name, std::int64_t bornAt, bool leaving = false)
+GatewayTarget incarnationOf(const std::string &name, std::int64_t bornAt, bool leaving = false)
 {
     GatewayTarget target = targetOf(name, leaving);
     target.bornAt = Millis{bornAt};
@@ -279,10 +279,10 @@
 TEST_CASE("a later life takes the place of the one before it")
 {
     TargetList list;
-    list.replaceAll({lifeOf("a", 100), targetOf("b")}, 5, Millis{0});
-    list.put(lifeOf("a", 200), 6);
-    CHECK(list.targets() == std::vector{lifeOf("a", 200), targetOf("b")});
-    CHECK(list.changesSince(5)->written == std::vector{lifeOf("a", 200)});
+    list.replaceAll({incarnationOf("a", 100), targetOf("b")}, 5, Millis{0});
+    list.put(incarnationOf("a", 200), 6);
+    CHECK(list.targets() == std::vector{incarnationOf("a", 200), targetOf("b")});
+    CHECK(list.findChangesSince(5)->written == std::vector{incarnationOf("a", 200)});
 }
 
 // Symptom: a target that had just started was passed over as leaving.
@@ -292,20 +292,20 @@
 TEST_CASE("an earlier life's word that comes late changes nothing")
 {
     TargetList list;
-    list.replaceAll({lifeOf("a", 200)}, 5, Millis{0});
-    list.put(lifeOf("a", 100, true), 6);
-    CHECK(list.targets() == std::vector{lifeOf("a", 200)});
-    list.replaceAll({lifeOf("a", 100, true)}, 7, Millis{10});
-    CHECK(list.targets() == std::vector{lifeOf("a", 200)});
-    list.adopt({lifeOf("a", 100)}, 8);
-    CHECK(list.targets() == std::vector{lifeOf("a", 200)});
-    CHECK(list.apply({8, 9, {lifeOf("a", 100)}, {}}));
-    CHECK(list.targets() == std::vector{lifeOf("a", 200)});
+    list.replaceAll({incarnationOf("a", 200)}, 5, Millis{0});
+    list.put(incarnationOf("a", 100, true), 6);
+    CHECK(list.targets() == std::vector{incarnationOf("a", 200)});
+    list.replaceAll({incarnationOf("a", 100, true)}, 7, Millis{10});
+    CHECK(list.targets() == std::vector{incarnationOf("a", 200)});
+    list.replaceFromPeer({incarnationOf("a", 100)}, 8);
+    CHECK(list.targets() == std::vector{incarnationOf("a", 200)});
+    CHECK(list.apply({8, 9, {incarnationOf("a", 100)}, {}}));
+    CHECK(list.targets() == std::vector{incarnationOf("a", 200)});
     // The entry is removed: whoever writes there next is believed.
-    list.removed(TargetId{"a"}, 10, Millis{20});
+    list.remove(TargetId{"a"}, 10, Millis{20});
     CHECK(list.empty());
-    list.put(lifeOf("a", 100), 11);
-    CHECK(list.targets() == std::vector{lifeOf("a", 100)});
+    list.put(incarnationOf("a", 100), 11);
+    CHECK(list.targets() == std::vector{incarnationOf("a", 100)});
 }
 
 // Symptom: a gateway went on sending to a target that had left, and to its address after it, until it read the whole
@@ -318,7 +318,7 @@
     TargetList list;
     list.replaceAll({targetOf("a"), targetOf("b"), targetOf("c")}, 100, Millis{0});
     REQUIRE(list.apply({100, 200, {targetOf("a", true), targetOf("d")}, {TargetId{"b"}}}));
-    const std::vector<GatewayTarget> told = list.targets();
+    const std::vector<GatewayTarget> expected = list.targets();
     SUBCASE("an entry that has left, or leaves")
     {
         list.put(targetOf("b"), 120);
@@ -326,26 +326,26 @@
     }
     SUBCASE("one that is written anew since")
     {
-        list.removed(TargetId{"d"}, 120, Millis{10});
-        list.unreadable(TargetId{"d"}, 120);
+        list.remove(TargetId{"d"}, 120, Millis{10});
+        list.removeUnreadable(TargetId{"d"}, 120);
     }
-    CHECK(list.targets() == told);
+    CHECK(list.targets() == expected);
     CHECK(list.revision() == 200);
-    CHECK(list.changesSince(200)->written.empty());
+    CHECK(list.findChangesSince(200)->written.empty());
     // What the store says of the same revision, or of a later one, counts.
     list.put(targetOf("b"), 200);
-    list.removed(TargetId{"c"}, 201, Millis{20});
+    list.remove(TargetId{"c"}, 201, Millis{20});
     CHECK(list.targets() == std::vector{targetOf("a", true), targetOf("b"), targetOf("d")});
 }
 
 TEST_CASE("an entry that tells no life is of the known one")
 {
     TargetList list;
-    list.replaceAll({lifeOf("a", 200)}, 5, Millis{0});
+    list.replaceAll({incarnationOf("a", 200)}, 5, Millis{0});
     list.put(targetOf("a", true), 6);
-    CHECK(list.targets() == std::vector{lifeOf("a", 200, true)});
-    list.put(lifeOf("a", 300), 7);
-    CHECK(list.targets() == std::vector{lifeOf("a", 300)});
+    CHECK(list.targets() == std::vector{incarnationOf("a", 200, true)});
+    list.put(incarnationOf("a", 300), 7);
+    CHECK(list.targets() == std::vector{incarnationOf("a", 300)});
 }
 
 // Symptom: one gateway sent requests to an entry that another writer had spoilt, another one did not.
@@ -355,21 +355,21 @@
 TEST_CASE("an entry that cannot be read names no target, however it is learnt, and the others hold")
 {
     TargetList watching;
-    watching.replaceAll({lifeOf("a", 200), targetOf("b")}, 5, Millis{0});
-    watching.unreadable(TargetId{"a"}, 6);
+    watching.replaceAll({incarnationOf("a", 200), targetOf("b")}, 5, Millis{0});
+    watching.removeUnreadable(TargetId{"a"}, 6);
     TargetList listing;
-    listing.replaceAll({lifeOf("a", 200), targetOf("b")}, 5, Millis{0});
+    listing.replaceAll({incarnationOf("a", 200), targetOf("b")}, 5, Millis{0});
     // Also where entries that are missing are kept since the store was away.
     listing.storeLost(Millis{1000});
     listing.storeReturned(Millis{9000});
     listing.replaceAll({targetOf("b")}, 6, Millis{9000});
     CHECK(listing.hasMissing());
-    listing.unreadable(TargetId{"a"}, 6);
+    listing.removeUnreadable(TargetId{"a"}, 6);
     CHECK(watching.targets() == std::vector{targetOf("b")});
     CHECK(listing.targets() == watching.targets());
     CHECK_FALSE(listing.hasMissing());
-    CHECK(watching.changesSince(5)->gone == std::vector{TargetId{"a"}});
-    watching.put(lifeOf("a", 200), 7);
+    CHECK(watching.findChangesSince(5)->gone == std::vector{TargetId{"a"}});
+    watching.put(incarnationOf("a", 200), 7);
     CHECK(watching.targets().size() == 2);
 }
 
@@ -393,13 +393,13 @@
             this->write("t" + std::to_string(this->next++), false);
             break;
         case 2:
-            this->leave();
+            this->markLeaving();
             break;
         case 3:
-            this->end();
+            this->removeTarget();
             break;
         case 4:
-            this->copy = {this->content, this->revision};
+            this->backup = {this->content, this->revision};
             break;
         case 5:
             if (this->random() % 4 == 0) {
@@ -407,40 +407,40 @@
             }
             break;
         case 6:
-            this->tell();
+            this->sendToFollower();
             break;
         default:
             this->watch();
         }
-        this->hearLate();
+        this->deliverMessage();
         this->reader.tick(this->now);
-        this->told.tick(this->now);
-        this->judge();
+        this->follower.tick(this->now);
+        this->checkInvariants();
     }
 
     /** All that is lost is written again and heard, and nothing is kept any more. */
-    void calm()
+    void settle()
     {
         this->rewrite();
         this->watch();
         for (int i = 0; i < 200; ++i) {
             this->now += Millis{40};
             this->reader.tick(this->now);
-            this->told.tick(this->now);
-            this->tell();
-            this->hearLate();
+            this->follower.tick(this->now);
+            this->sendToFollower();
+            this->deliverMessage();
         }
         std::vector<GatewayTarget> expected;
         for (const auto &[name, isLeaving] : this->alive) {
             expected.push_back(targetOf(name, isLeaving));
         }
         CHECK(this->reader.targets() == expected);
-        CHECK(this->told.targets() == expected);
-        CHECK(this->told.revision() == this->reader.revision());
+        CHECK(this->follower.targets() == expected);
+        CHECK(this->follower.revision() == this->reader.revision());
     }
 
 private:
-    struct Word
+    struct PeerMessage
     {
         Revision at = 0;
         std::optional<TargetChanges> changes;
@@ -467,31 +467,31 @@
         this->events[this->revision] = name;
     }
 
-    std::string any() const
+    std::string pickTarget() const
     {
         return this->alive.empty() ? "" : std::next(this->alive.begin(), this->revision % this->alive.size())->first;
     }
 
-    void leave()
+    void markLeaving()
     {
-        if (const std::string name = this->any(); !name.empty()) {
+        if (const std::string name = this->pickTarget(); !name.empty()) {
             this->write(name, true);
-            this->left.insert(name);
+            this->leftTargets.insert(name);
         }
     }
 
-    void end()
+    void removeTarget()
     {
-        if (const std::string name = this->any(); !name.empty()) {
+        if (const std::string name = this->pickTarget(); !name.empty()) {
             this->alive.erase(name);
-            this->left.insert(name);
+            this->leftTargets.insert(name);
             this->remove(name);
         }
     }
 
     void restore()
     {
-        std::tie(this->content, this->revision) = this->copy;
+        std::tie(this->content, this->revision) = this->backup;
         this->era += 1;
         this->events.clear();
         this->read();
@@ -532,50 +532,50 @@
         for (auto event = first; event != this->events.end(); ++event) {
             const auto found = this->content.find(event->second);
             if (found == this->content.end()) {
-                this->reader.removed(TargetId{event->second}, this->position(), this->now);
+                this->reader.remove(TargetId{event->second}, this->position(), this->now);
             } else {
                 this->reader.put(targetOf(event->second, found->second), this->position());
             }
         }
-        this->heardLeft = this->left;
+        this->observedLeft = this->leftTargets;
     }
 
     /** A word of the reader to the other one; it may come late, twice or after a later one. */
-    void tell()
+    void sendToFollower()
     {
-        const auto changes = this->reader.changesSince(this->told.revision());
+        const auto changes = this->reader.findChangesSince(this->follower.revision());
         const bool hasAll = !changes && !this->reader.hasMissing();
         if (changes || hasAll) {
-            this->words.push_back({this->reader.revision(), changes, this->reader.targets()});
+            this->messages.push_back({this->reader.revision(), changes, this->reader.targets()});
         }
     }
 
-    void hearLate()
+    void deliverMessage()
     {
-        if (this->words.empty() || this->random() % 3 == 0) {
+        if (this->messages.empty() || this->random() % 3 == 0) {
             return;
         }
-        const std::size_t which = this->random() % this->words.size();
-        const Word word = this->words[which];
+        const std::size_t which = this->random() % this->messages.size();
+        const PeerMessage message = this->messages[which];
         if (this->random() % 4 != 0) {
-            this->words.erase(this->words.begin() + static_cast<std::ptrdiff_t>(which));
+            this->messages.erase(this->messages.begin() + static_cast<std::ptrdiff_t>(which));
         }
-        if (word.changes) {
-            this->told.apply(*word.changes);
-        } else if (word.at > this->told.revision()) {
-            this->told.adopt(word.all, word.at);
+        if (message.changes) {
+            this->follower.apply(*message.changes);
+        } else if (message.at > this->follower.revision()) {
+            this->follower.replaceFromPeer(message.all, message.at);
         }
     }
 
-    void judge()
+    void checkInvariants()
     {
         CHECK(this->reader.revision() >= this->readerBefore);
-        CHECK(this->told.revision() >= this->toldBefore);
+        CHECK(this->follower.revision() >= this->followerBefore);
         this->readerBefore = this->reader.revision();
-        this->toldBefore = this->told.revision();
+        this->followerBefore = this->follower.revision();
         for (const GatewayTarget &target : this->reader.targets()) {
             const bool isKept = this->reader.hasMissing();
-            CHECK_FALSE((!target.isLeaving && !isKept && this->heardLeft.contains(target.id.value)));
+            CHECK_FALSE((!target.isLeaving && !isKept && this->observedLeft.contains(target.id.value)));
         }
     }
 
@@ -585,17 +585,17 @@
     Revision revision = 1;
     /** Names, and whether each says that it leaves. */
     std::map<std::string, bool> content;
-    std::pair<std::map<std::string, bool>, Revision> copy{{}, 1};
+    std::pair<std::map<std::string, bool>, Revision> backup{{}, 1};
     std::map<Revision, std::string> events;
     std::map<std::string, bool> alive;
-    std::set<std::string> left;
-    std::set<std::string> heardLeft;
+    std::set<std::string> leftTargets;
+    std::set<std::string> observedLeft;
     int next = 0;
     TargetList reader;
-    TargetList told;
+    TargetList follower;
     Revision readerBefore = 0;
-    Revision toldBefore = 0;
-    std::deque<Word> words;
+    Revision followerBefore = 0;
+    std::deque<PeerMessage> messages;
 };
 
 } // namespace
@@ -609,6 +609,6 @@
         for (int i = 0; i < 400; ++i) {
             fleet.step();
         }
-        fleet.calm();
+        fleet.settle();
     }
 }
--- a/sequoiausher/transport/gateway/gatewayadmission.cpp
+++ b/sequoiausher/transport/gateway/gatewayadmission.cpp
@@ -145,7 +145,7 @@
 
 std::optional<GatewayRefusal> Admission::decide()
 {
-    this->admitted.service = RouteTable::serviceFor(*this->admitted.route, hash64(this->admitted.request.attemptId));
+    this->admitted.service = RouteTable::chooseService(*this->admitted.route, hash64(this->admitted.request.attemptId));
     std::vector<std::uint64_t> hashes;
     for (const PromptPart &part : this->admitted.request.parts) {
         hashes.push_back(hash64(part.id));
