--- a/sequoiausher/transport/gateway/gatewayexchange.cpp
+++ b/sequoiausher/transport/gateway/gatewayexchange.cpp
@@ -53,12 +53,12 @@
     /** Sends the request to the target that was found, or to another one where that has no free connection. */
     void attempt(std::optional<ChosenTarget> found, Millis now);
     std::optional<ChosenTarget> chooseTarget(Millis now);
-    std::string copySource(const ChosenTarget &target, Millis now);
+    std::string findCopySource(const ChosenTarget &target, Millis now);
     std::shared_ptr<TargetConnection> connect(const ChosenTarget &chosen, Millis now);
     void send(const ChosenTarget &chosen, std::shared_ptr<TargetConnection> connection, Millis now);
     void endAttempt(const AttemptVerdict &verdict, Millis now);
     void follow(AttemptEnd end, Millis now);
-    void closeCall(AttemptMark mark, Millis now);
+    void closeCall(TargetOutcome mark, Millis now);
     /** Learns from an answer how long the target takes, and whether its service is overloaded. */
     void noteAnswerTime(Millis now);
     /** Learns how long the service took to begin an answer. */
@@ -124,7 +124,7 @@
 GatewayExchange::~GatewayExchange()
 {
     if (this->d->call) {
-        this->d->closeCall(AttemptMark::Neutral, Millis::monotonicNow());
+        this->d->closeCall(TargetOutcome::Neutral, Millis::monotonicNow());
     }
 }
 
@@ -189,13 +189,13 @@
     return this->context.board.choose(criteria, now);
 }
 
-std::string GatewayExchange::Private::copySource(const ChosenTarget &target, Millis now)
+std::string GatewayExchange::Private::findCopySource(const ChosenTarget &target, Millis now)
 {
     if (this->admitted.decision.cacheMiss != CacheMiss::Copy) {
         return {};
     }
     const std::optional<GatewayTarget> source
-        = this->admitted.parts.copySource(this->context.parts, this->context.board, target.target.id, now);
+        = this->admitted.parts.findCopySource(this->context.parts, this->context.board, target.target.id, now);
     return source ? source->address : std::string();
 }
 
@@ -232,12 +232,12 @@
     order.priority = this->admitted.decision.priority;
     order.lastEventId = this->answer.lastEventId();
     order.bodyBytes = this->body.size();
-    order.copyFrom = this->copySource(target, now);
+    order.copyFrom = this->findCopySource(target, now);
     this->copiedFrom = order.copyFrom;
     this->call = std::make_unique<GatewayCall>(
         this->self, this->context.dialect, std::move(connection), this->admitted.request.attemptId);
-    this->context.board.started(target.target.id);
-    this->admitted.parts.sent(this->context.parts, target.target.id, now);
+    this->context.board.recordStart(target.target.id);
+    this->admitted.parts.recordSent(this->context.parts, target.target.id, now);
     this->attempts.sent();
     const bool isRetry = this->attempts.targetsUsed() > 1;
     this->context.metrics.countDispatch(this->admitted.labels, target.target.id.value, isRetry);
@@ -254,25 +254,25 @@
     this->call->send(bytes, this->head.method == "HEAD");
 }
 
-void GatewayExchange::Private::closeCall(AttemptMark mark, Millis now)
+void GatewayExchange::Private::closeCall(TargetOutcome mark, Millis now)
 {
     if (!this->call) {
         return;
     }
     this->call->cancel();
-    this->context.board.ended(this->chosen.target.id, mark, now);
+    this->context.board.recordEnd(this->chosen.target.id, mark, now);
     this->context.freeLater(std::shared_ptr<GatewayCall>(std::move(this->call)));
 }
 
 void GatewayExchange::Private::noteAnswerTime(Millis now)
 {
     const Millis took = now - this->sentAt;
-    this->context.board.answerTook(this->chosen.target.id, took);
+    this->context.board.recordAnswerTime(this->chosen.target.id, took);
     if (this->admitted.decision.overload != Overload::Shed) {
         return;
     }
     const PoolId &service = this->admitted.service;
-    const bool isCrowded = this->context.board.inFlight(service, now) > this->context.board.places(service);
+    const bool isCrowded = this->context.board.inFlight(service, now) > this->context.board.totalSlots(service);
     this->context.shedder.answered(service, {took, this->admitted.route->latencyAim, isCrowded}, now);
 }
 
@@ -288,7 +288,7 @@
                             {"how", std::string(nameOf(end))},
                             {"after_ms", std::to_string((now - this->sentAt).count)},
                             {"events", std::to_string(this->answer.eventCount())}});
-    if (mark == AttemptMark::Full && this->admitted.decision.overload == Overload::Shed) {
+    if (mark == TargetOutcome::Full && this->admitted.decision.overload == Overload::Shed) {
         this->context.shedder.rejected(this->admitted.service, now);
     }
     this->closeCall(mark, now);
@@ -313,7 +313,7 @@
 void GatewayExchange::Private::follow(AttemptEnd end, Millis now)
 {
     const NextStep step = this->attempts.next(end, this->answer.isBegun(), now, *this);
-    const Millis rest = this->context.board.restLeft(this->admitted.service, now).value_or(Millis{0});
+    const Millis rest = this->context.board.remainingBackoff(this->admitted.service, now).value_or(Millis{0});
     const Millis retry = rest + this->context.spread(retryWhenFull);
     switch (step) {
     case NextStep::SendAgain:
@@ -354,7 +354,7 @@
 void GatewayExchange::answerBegan(const HttpHead &head, const TargetAnswer &answer)
 {
     const Millis now = Millis::monotonicNow();
-    this->d->context.board.heard(this->d->chosen.target.id, now);
+    this->d->context.board.recordActivity(this->d->chosen.target.id, now);
     this->d->answer.began(head, answer);
     this->d->lastPartAt = now;
     this->d->noteTargetsWord(answer, now);
@@ -368,14 +368,14 @@
     }
     if (word.isLeaving) {
         this->targetSays = "leaves";
-        if (this->context.board.saysItLeaves(this->chosen.target.id, now)) {
+        if (this->context.board.markLeaving(this->chosen.target.id, now)) {
             this->context.log.info(
                 LogPart::Targets, "target says that it leaves", {{"target", this->chosen.target.id.value}});
         }
     }
     if (word.restFor) {
         this->targetSays = "rests " + std::to_string(word.restFor->count);
-        this->context.board.asksForRest(this->chosen.target.id, now + *word.restFor, now);
+        this->context.board.setBackoff(this->chosen.target.id, now + *word.restFor, now);
         this->context.metrics.add("gateway_rests_asked_total");
     }
 }
@@ -384,7 +384,7 @@
 {
     const Millis now = Millis::monotonicNow();
     this->d->lastPartAt = now;
-    this->d->context.board.heard(this->d->chosen.target.id, now);
+    this->d->context.board.recordActivity(this->d->chosen.target.id, now);
     if (!this->d->answer.add(bytes)) {
         return;
     }
@@ -472,7 +472,7 @@
 void GatewayExchange::Private::noteLostConnection(Millis now)
 {
     // A target that leaves ends as planned, whatever it had in hand.
-    if (this->context.board.isOffered(this->chosen.target.id)) {
+    if (this->context.board.isEligible(this->chosen.target.id)) {
         this->hasLostTarget = true;
         this->context.quarantine.lost(this->fingerprint, this->chosen.target.id, this->sentAt, now);
         this->context.lifeChecks.begin(this->chosen.target, now);
@@ -539,11 +539,11 @@
     state.deadline = this->admitted.deadline;
     state.sentAt = this->sentAt;
     state.lastPartAt = this->lastPartAt;
-    state.targetHeardAt = this->context.board.lastHeard(this->chosen.target.id);
+    state.targetHeardAt = this->context.board.lastActivity(this->chosen.target.id);
     state.isConnected = this->call && this->call->isConnected();
     state.hasEvents = this->answer.eventCount() > 0 && this->answer.hasHead();
     state.isReadingPaused = this->answer.isReadingPaused();
-    state.isLifeOver = this->context.board.isLifeOver(this->chosen.target);
+    state.isLifeOver = this->context.board.isReplaced(this->chosen.target);
     state.mayRunElsewhere = this->attempts.mayRunElsewhere();
     state.latencyAim = route.latencyAim;
     state.gapAim = route.gapAim;
@@ -598,7 +598,7 @@
         this->d->answerOwn(statusUnavailable, "the gateway stops", retry, Outcome::RefusedFull);
         return;
     }
-    this->d->endAttempt({AttemptEnd::TimeUp, AttemptMark::Neutral}, Millis::monotonicNow());
+    this->d->endAttempt({AttemptEnd::TimeUp, TargetOutcome::Neutral}, Millis::monotonicNow());
 }
 
 void GatewayExchange::callerGone()
@@ -606,7 +606,7 @@
     if (this->d->over) {
         return;
     }
-    this->d->closeCall(AttemptMark::Neutral, Millis::monotonicNow());
+    this->d->closeCall(TargetOutcome::Neutral, Millis::monotonicNow());
     this->d->finish(Outcome::Cancelled, "the caller left");
 }
 
--- a/sequoiausher/transport/gateway/gatewayknowledge.cpp
+++ b/sequoiausher/transport/gateway/gatewayknowledge.cpp
@@ -143,7 +143,7 @@
                                {"targets_kept", std::to_string(targets.size())},
                                {"leaving_kept", std::to_string(leaving)},
                                {"unproven_until_revision", std::to_string(newest)}});
-    this->restored.returned(newest, now);
+    this->restored.recordReturn(newest, now);
     this->known.targets.storeRestored(now);
 }
 
@@ -161,7 +161,7 @@
 {
     this->noteEra(eraOf(stored.storeRevision), "store");
     if (readAt) {
-        this->context.duty.storeWasAt(stored.storeRevision, *readAt);
+        this->context.duty.recordStoreRevision(stored.storeRevision, *readAt);
     }
     if (stored.changedAt != this->readChangedAt) {
         if (stored.changedAt < this->readChangedAt) {
@@ -181,7 +181,7 @@
             this->install(stored.raw, std::move(configuration), "store");
         }
     }
-    const bool proves = this->restored.proves(this->readRevision, stored.changedAt, Millis::monotonicNow());
+    const bool proves = this->restored.provesNothingNewer(this->readRevision, stored.changedAt, Millis::monotonicNow());
     if (readAt && proves) {
         this->context.freshness.proven(this->readRevision, *readAt);
     }
@@ -233,16 +233,16 @@
                                             Revision at,
                                             Millis asOf)
 {
-    this->context.duty.storeWasAt(at, asOf);
+    this->context.duty.recordStoreRevision(at, asOf);
     // A peer may have told of later changes already.
     if (at >= this->known.targets.revision()) {
         this->known.targets.replaceAll(targets, at, Millis::monotonicNow());
         for (const TargetId &name : unreadable) {
-            this->known.targets.unreadable(name, at);
+            this->known.targets.removeUnreadable(name, at);
         }
         this->targetsChanged("list");
     }
-    this->context.duty.listReached(at);
+    this->context.duty.recordListRevision(at);
     this->hasAskedTargets = true;
     this->noteFirstReading();
 }
@@ -256,7 +256,7 @@
 void GatewayKnowledge::Private::noteFirstReading()
 {
     if (this->hasAskedConfiguration && this->hasAskedTargets) {
-        this->context.duty.readAll(Millis::monotonicNow());
+        this->context.duty.recordFirstFullRead(Millis::monotonicNow());
     }
 }
 
@@ -268,13 +268,13 @@
 
 void GatewayKnowledge::Private::targetRemoved(const TargetId &name, Revision at)
 {
-    this->known.targets.removed(name, at, Millis::monotonicNow());
+    this->known.targets.remove(name, at, Millis::monotonicNow());
     this->noteChange(name.value + " removed");
 }
 
 void GatewayKnowledge::Private::targetUnreadable(const TargetId &name, Revision at)
 {
-    this->known.targets.unreadable(name, at);
+    this->known.targets.removeUnreadable(name, at);
     this->noteChange(name.value + " unreadable");
 }
 
@@ -297,8 +297,8 @@
 
 void GatewayKnowledge::Private::watchAnswered(Revision upTo, Millis asOf)
 {
-    this->context.duty.storeWasAt(upTo, asOf);
-    this->context.duty.listReached(upTo);
+    this->context.duty.recordStoreRevision(upTo, asOf);
+    this->context.duty.recordListRevision(upTo);
 }
 
 void GatewayKnowledge::Private::storeLost(const std::string & /*problem*/)
@@ -315,8 +315,8 @@
 
 void GatewayKnowledge::Private::targetsOffered(const std::vector<GatewayTarget> &targets, Revision revision)
 {
-    this->known.targets.adopt(targets, revision);
-    this->context.duty.listReached(this->known.targets.revision());
+    this->known.targets.replaceFromPeer(targets, revision);
+    this->context.duty.recordListRevision(this->known.targets.revision());
     this->targetsChanged("peer");
 }
 
@@ -325,7 +325,7 @@
     if (!this->known.targets.apply(changes)) {
         return;
     }
-    this->context.duty.listReached(this->known.targets.revision());
+    this->context.duty.recordListRevision(this->known.targets.revision());
     for (const TargetId &gone : changes.gone) {
         this->noteChange(gone.value + " gone");
     }
--- a/sequoiausher/transport/gateway/gatewaynode.cpp
+++ b/sequoiausher/transport/gateway/gatewaynode.cpp
@@ -254,7 +254,7 @@
 {
     const StoreDuty &duty = this->context.duty;
     const StoreRole role = this->context.storeRole(now);
-    const bool rests = duty.mayRest(role, now);
+    const bool rests = duty.mayFollowPeers(role, now);
     if (rests != std::exchange(this->wasResting, rests)) {
         const Millis age = duty.knowledgeAge(now);
         this->log.info(LogPart::Platform,
@@ -264,10 +264,10 @@
                         {"gateways", std::to_string(role.fleetSize)}});
     }
     this->watcher->setResting(rests, this->known.targets.revision());
-    this->watcher->setLongestPause(duty.longestPause(role));
+    this->watcher->setLongestPause(duty.maxRetryPause(role));
     // One that knows of a newer version than its own reads it without delay.
     const Millis age = this->context.isBehind() ? Millis::never() : this->context.proofAge(now);
-    this->watcher->tick(now, age, duty.longestProofAge(role, now));
+    this->watcher->tick(now, age, duty.maxProofAge(role, now));
 }
 
 std::vector<std::shared_ptr<CallerConnection>> GatewayNode::Private::allCallers() const
@@ -402,7 +402,7 @@
     const Millis heardAt = this->watcher->targetsHeardAt();
     this->metrics.set("gateway_targets_heard_ms",
                       heardAt == Millis{0} ? -1 : static_cast<double>((now - heardAt).count));
-    this->metrics.set("gateway_resting", this->context.duty.mayRest(this->context.storeRole(now), now) ? 1 : 0);
+    this->metrics.set("gateway_resting", this->context.duty.mayFollowPeers(this->context.storeRole(now), now) ? 1 : 0);
     this->metrics.set("gateway_peer_bytes_sent", static_cast<double>(this->peers.sentBytes()));
     return toPrometheus(this->metrics.snapshot());
 }
--- a/sequoiausher/transport/gateway/gatewaypeers.cpp
+++ b/sequoiausher/transport/gateway/gatewaypeers.cpp
@@ -192,7 +192,7 @@
 void GatewayPeers::Private::sendReports(Millis now)
 {
     this->context.board.setOtherGateways(this->context.peers.members(now).size());
-    for (const DueReport &due : this->context.peers.due(now)) {
+    for (const DueReport &due : this->context.peers.takeDueReports(now)) {
         GatewayReport report = this->reportFor(due.peer, now);
         report.wantsReply = due.wantsReply;
         this->mesh.send(due.peer, std::move(report));
@@ -206,7 +206,7 @@
     const PeerDirectory &directory = this->context.peers;
     GatewayReport report;
     report.sentAt = now;
-    report.echo = directory.newestFrom(peer);
+    report.echo = directory.newestReportFrom(peer);
     report.configuration = this->context.revision();
     report.proofAge = this->context.proofAge(now);
     // Who keeps entries that may be gone cannot vouch for the list: others then read the store themselves.
@@ -215,15 +215,15 @@
     report.storeEra = eraOf(this->known.targets.revision());
     report.leaving = this->context.isStopping;
     report.isHub = directory.isHub(now);
-    report.isResting
-        = this->context.duty.mayRest(this->context.storeRole(now), now) || !this->context.duty.isFirstHand(now);
+    report.isResting = this->context.duty.mayFollowPeers(this->context.storeRole(now), now)
+        || !this->context.duty.hasRecentStoreAnswer(now);
     report.isSettled = !report.isResting && this->known.targets.isSettled(now);
     report.strength = strengthOf(this->context.settings);
     report.dataCentre = this->context.settings.dataCentre;
     const bool isToHub = directory.isHub(peer);
-    const NewsScope scope = !report.isHub ? NewsScope::Own : isToHub ? NewsScope::Group : NewsScope::All;
+    const UpdateScope scope = !report.isHub ? UpdateScope::Own : isToHub ? UpdateScope::Group : UpdateScope::All;
     report.crashes = this->context.quarantine.newsFor(peer, scope, now);
-    report.placements = this->context.parts.newsFor(peer, scope);
+    report.placements = this->context.parts.takeUpdates(peer, scope);
     if (!report.isHub) {
         report.loads = this->context.board.ownLoads(now);
         report.members = directory.hasHubs(now) ? std::vector<GatewayMember>() : directory.members(now);
@@ -260,24 +260,24 @@
     const Millis now = Millis::monotonicNow();
     this->news.eraOffered(report.storeEra, from);
     const Revision targets = this->positionOf(report.storeEra, report.targets);
-    this->context.peers.heardFrom(from, report, now);
+    this->context.peers.recordReport(from, report, now);
     this->context.freshness.vouched(report.configuration, report.proofAge, report.echo);
     const bool isHub = this->context.peers.isHub(now);
     if (report.isHub && !isHub) {
         // Each hub says what all others have: of two, the older one's word would count everything twice.
-        this->context.board.forgetPeersBut(from);
+        this->context.board.forgetOtherPeers(from);
     }
-    this->context.board.peerReported(from, report.loads, now);
-    const NewsScope scope = !isHub ? NewsScope::Own : report.isHub ? NewsScope::All : NewsScope::Group;
+    this->context.board.updatePeerLoads(from, report.loads, now);
+    const UpdateScope scope = !isHub ? UpdateScope::Own : report.isHub ? UpdateScope::All : UpdateScope::Group;
     for (const GatewayPlacement &placement : report.placements) {
-        this->context.parts.heard(from, placement.part, placement.target, now, scope);
+        this->context.parts.recordPeerPlacement(from, placement.part, placement.target, now, scope);
     }
     this->context.requestsRefused(this->context.quarantine.heard(from, report.crashes, now, scope), from.value);
     const bool comesBefore = this->context.peers.comesBefore(from, now);
-    this->context.duty.heard({report.storeAge, report.echo, report.isHub, !report.isResting, comesBefore, targets},
-                             now);
+    this->context.duty.recordPeerReport(
+        {report.storeAge, report.echo, report.isHub, !report.isResting, comesBefore, targets}, now);
     if (report.isSettled) {
-        this->known.targets.peerIsSettled(targets, report.echo);
+        this->known.targets.confirmSettledByPeer(targets, report.echo);
     }
     this->pushTo(from, report, targets, now);
     if (this->context.peers.mustReply(from, report, now)) {
@@ -311,7 +311,7 @@
     const bool hasNone = has == 0 && !this->known.targets.empty();
     // One that reads the store itself hears of a change by itself, unless its own calls have got no answer.
     const bool counts = report.isResting || this->isLate(has, now);
-    if (hasNone || (counts && this->context.duty.mayTell(now))) {
+    if (hasNone || (counts && this->context.duty.mayShareKnowledge(now))) {
         this->pushTargets(peer, has, now);
     }
 }
@@ -341,7 +341,7 @@
     const Millis toldAt = this->pushed[{peer, targetChangesDocument}].at;
     const bool isBehind = has < list.changedAt();
     // Entries that did not come back after an outage go without a change in the store.
-    const bool lacksLetGo = has == list.revision() && list.letGoAt() > toldAt;
+    const bool lacksLetGo = has == list.revision() && list.lastExpiryAt() > toldAt;
     // An entry that is only kept since it may come back must not be taken for one of the present revision.
     const bool isUncertain = list.hasMissing() && has > 0;
     if (isUncertain || (!isBehind && !lacksLetGo)) {
@@ -353,19 +353,19 @@
 const Document &GatewayPeers::Private::targetsFrom(Revision has)
 {
     const TargetList &list = this->known.targets;
-    if (this->packedTargetsAt != list.revisionToTell() || this->packedLetGoAt != list.letGoAt()) {
-        this->packedTargetsAt = list.revisionToTell();
-        this->packedLetGoAt = list.letGoAt();
+    if (this->packedTargetsAt != list.shareableRevision() || this->packedLetGoAt != list.lastExpiryAt()) {
+        this->packedTargetsAt = list.shareableRevision();
+        this->packedLetGoAt = list.lastExpiryAt();
         this->packedTargets.clear();
     }
     const auto [entry, isNew] = this->packedTargets.try_emplace(has);
     if (isNew) {
-        const std::optional<TargetChanges> changes = list.changesSince(has);
+        const std::optional<TargetChanges> changes = list.findChangesSince(has);
         // Changes never lead from one era into another.
         const std::string text = changes
             ? toText({revisionIn(changes->from), revisionIn(changes->to), changes->written, changes->gone})
             : toText(list.targets());
-        const Revision at = list.revisionToTell();
+        const Revision at = list.shareableRevision();
         entry->second
             = {changes ? targetChangesDocument : targetsDocument, revisionIn(at), packed(text), false, eraOf(at)};
     }
--- a/sequoiausher/transport/gateway/storewatcher.cpp
+++ b/sequoiausher/transport/gateway/storewatcher.cpp
@@ -105,7 +105,7 @@
     /** How much longer a proof lasts where the configuration is large. */
     Millis readingTime;
     double bytesPerMs;
-    Millis longestPause = usualStorePause;
+    Millis longestPause = baseStorePause;
     bool isResting = false;
     std::vector<GatewayTarget> listed;
     std::vector<TargetId> unreadable;
