--- a/sequoiausher/coordination/gateway/gatewayconfiguration.h
+++ b/sequoiausher/coordination/gateway/gatewayconfiguration.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What a gateway serves: routes by host and path prefix, the services behind them, the organisations that may call, and
-// the limits that callers must keep. Plain data; routetable.h makes it searchable.
+// The configuration of a gateway: routes by host and path prefix, the services behind them, the organisations that may
+// call, and the limits for callers. Plain data; routetable.h has the lookups.
 //
 //     GatewayConfiguration configuration;
 //     configuration.revision = 7;
@@ -18,13 +18,13 @@
 
 namespace Sequoiausher {
 
-/** What a request on a route is, and so how often it may run. */
+/** The kind of a request on a route, which determines how often the request may run. */
 enum class RouteKind {
-    /** May run more than once. */
+    /** The request may run more than once. */
     Idempotent,
-    /** Runs at most once for each attempt of the caller. */
+    /** The request runs at most once for each attempt of the caller. */
     AtMostOnce,
-    /** Answered by a stream of events; runs at most once unless the route lets streams resume. */
+    /** The answer is a stream of events; the request runs at most once unless the route allows to resume streams. */
     Stream,
 };
 
@@ -35,7 +35,7 @@
     {RouteKind::Stream, "stream"},
 });
 
-/** A service and its part of a route's requests. */
+/** A service and its weight among the services of a route. */
 struct ServiceShare
 {
     PoolId service;
@@ -44,7 +44,7 @@
     bool operator==(const ServiceShare &) const = default;
 };
 
-/** One route. */
+/** A route, with its services and the rules for its requests. */
 struct GatewayRoute
 {
     std::string name;
@@ -52,72 +52,72 @@
     /** Begins and ends with a slash. */
     std::string pathPrefix;
     RouteKind kind = RouteKind::AtMostOnce;
-    /** A broken stream may be taken up at another target after the last event that arrived. */
+    /** A broken stream may be resumed at another target after the last event that arrived. */
     bool isResumable = false;
-    /** Needs no key. */
+    /** Requests need no key. */
     bool isPublic = false;
-    /** The request tells the parts of its prompt, which targets may have cached. */
+    /** Requests state the parts of their prompts, which targets may have cached. */
     bool carriesPrompt = false;
-    /** The longest that a caller is kept waiting. */
+    /** The maximum time that a caller waits. */
     Millis timeout{30000};
-    /** The aim for the answer, for streams for the first event. */
+    /** The intended time until the answer, or until the first event of a stream. */
     Millis latencyAim{1000};
-    /** The longest pause between two events that is still on time; 0 where the route has none. */
+    /** The longest pause between two events that is still on time; 0 where the route has no such limit. */
     Millis gapAim;
-    /** To how many targets one attempt of the caller may be sent. */
+    /** The maximum number of targets to which one attempt of the caller may be sent. */
     std::uint32_t mostTargets = 1;
-    /** 0 first. */
+    /** 0 is the highest priority. */
     std::uint32_t priority = 5;
     std::vector<ServiceShare> services;
 
     bool operator==(const GatewayRoute &) const = default;
 
-    /** Whether a request that may have run may be sent once more. */
+    /** Whether a request that may have run may be sent again. */
     bool isIdempotent() const
     {
         return this->kind == RouteKind::Idempotent || (this->kind == RouteKind::Stream && this->isResumable);
     }
 };
 
-/** A service: interchangeable targets. */
+/** A service, which is a group of interchangeable targets. */
 struct GatewayService
 {
     PoolId name;
-    /** Connections that one target takes, from all gateways together; 0 where it is not said. */
+    /** The number of connections that one target accepts from all gateways together; 0 where it is not configured. */
     std::uint32_t connectionLimit = 0;
-    /** Requests that one target runs at once; 0 where only its entry says so. */
+    /** The number of requests that one target runs at once; 0 where only the target's entry states it. */
     std::uint32_t slots = 0;
-    /** A model engine, which reads prompts and caches their parts. */
+    /** The service is a model engine, which reads prompts and caches their parts. */
     bool isEngine = false;
 
     bool operator==(const GatewayService &) const = default;
 };
 
-/** Who may call. */
+/** An organisation that may call. */
 struct GatewayOrganisation
 {
     OrganisationId name;
     std::vector<std::string> keys;
-    /** Goes before the route's where it is there. */
+    /** Overrides the route's priority where it is set. */
     std::optional<std::uint32_t> priority;
 
     bool operator==(const GatewayOrganisation &) const = default;
 };
 
-/** What a caller may send, and how long it may take. */
+/** Limits for the size and duration of what a caller sends. */
 struct CallerLimits
 {
     std::uint32_t headBytes = 16384;
     std::uint64_t bodyBytes = 4194304;
-    /** From the first byte of a head to its last. */
+    /** The maximum time from the first byte of a request head to its last. */
     Millis headTime{3000};
-    /** An unused connection is closed after so long. */
+    /** The time after which an unused connection is closed. */
     Millis idleTime{15000};
 
     bool operator==(const CallerLimits &) const = default;
 };
 
-/** One version of everything. */
+/** One version of the whole configuration. */
 struct GatewayConfiguration
 {
     Revision revision = 0;
@@ -132,32 +132,32 @@
 /** A target as the platform lists it. */
 struct GatewayTarget
 {
-    /** Of this life of the target: a restart has another one, also where the platform lists it under the same name. */
+    /** The id of this incarnation of the target. A restarted target has another id, also under the same listed name. */
     TargetId id;
     PoolId service;
     std::string address;
     DataCentreId dataCentre;
-    /** Requests that it runs at once. */
+    /** The number of requests that the target runs at once. */
     std::uint32_t slots = 1;
     bool isLeaving = false;
-    /** When this life began, by the target's own clock; 0 where it does not say. */
+    /** When this incarnation started, by the target's own clock; 0 where the entry does not state it. */
     Millis bornAt;
 
     bool operator==(const GatewayTarget &) const = default;
 };
 
 /**
- * The id of one life of the target that the platform lists as name. A target that starts again under its name holds
- * nothing of before: had both lives one id, its cache, its load, its health and the connections to it would be believed
- * to go on, and requests would be sent after prompts that it never read. With an id for each life, whatever is still
- * said of an earlier one, by peers or late, meets no target.
+ * Returns the id of one incarnation of the target that the platform lists as name. A target that restarts under its
+ * name has none of its earlier state. If both incarnations had one id, the old cache, load, health and connections
+ * would be attributed to the new one, and requests would be sent there because of prompts that it never read. With an
+ * id for each incarnation, reports about an earlier one, whether from peers or late, match no target.
  */
 inline TargetId targetLife(const TargetId &name, Millis bornAt)
 {
     return bornAt == Millis{0} ? name : TargetId{name.value + "~" + std::to_string(bornAt.count)};
 }
 
-/** The name under which the platform lists the target, the same for each of its lives. */
+/** Returns the name under which the platform lists the target, which is the same for all its incarnations. */
 inline TargetId listedName(const GatewayTarget &target)
 {
     const TargetId suffix = targetLife({}, target.bornAt);
--- a/sequoiausher/coordination/gateway/holderchoice.cpp
+++ b/sequoiausher/coordination/gateway/holderchoice.cpp
@@ -9,12 +9,13 @@
 
 namespace {
 
-/** Holders with less room than this part of the bound take a request only by chance. */
+/** Holders with less room in total than this fraction of the bound accept a request only with some probability. */
 constexpr double scarceRoomFraction = 0.3;
 
 /**
- * Whether holders with so much room together take the request. Were all gateways to stop at the bound and not before,
- * those that hear late would all send until it is passed, and then all stay away until the target is nearly empty.
+ * Whether holders with this much room in total accept the request. If all gateways accepted requests up to the bound,
+ * gateways with late reports would all send until the bound is exceeded, and then all avoid the target until it is
+ * nearly empty.
  */
 bool acceptsRequest(std::uint64_t room, std::uint64_t bound, std::uint64_t requestHash)
 {
@@ -40,8 +41,8 @@
     if (total == 0 || !acceptsRequest(total, load.lowestBound, requestHash)) {
         return std::nullopt;
     }
-    // A part in heavy use is held by several: were all gateways to take the first one with room, they would fill it
-    // together before any of them hears of it.
+    // A hot part has several holders. If all gateways chose the first holder with room, they would fill it together
+    // before any of them learns of the others' requests.
     std::uint64_t place = requestHash % total;
     for (const auto &[index, room] : rooms) {
         if (place < room) {
--- a/sequoiausher/coordination/gateway/holderchoice.h
+++ b/sequoiausher/coordination/gateway/holderchoice.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Which of the targets that hold a request's part in their caches it goes to, if to any.
+// Which of the targets that hold a request's part in their caches gets the request, if any.
 //
 //     const std::optional<std::size_t> index = chooseHolder(holders, load, hash64(request));
 
@@ -15,9 +15,10 @@
 namespace Sequoiausher {
 
 /**
- * The index in load of a usable holder below load.lowestBound, drawn in proportion to the room below it; none where
- * there is no room, and the more often none the less room all holders have together, once that is little.
- * @param holders those that are not in load are passed over.
+ * Chooses a usable holder below load.lowestBound with a probability proportional to its room below the bound. @return
+ * its index in load; none where there is no room. Once the total room of all holders is small, also none with a
+ * probability that grows as the room shrinks.
+ * @param holders those that are not in load are skipped.
  * @param requestHash differs from request to request.
  */
 std::optional<std::size_t>
--- a/sequoiausher/coordination/gateway/holderchoicetest.cpp
+++ b/sequoiausher/coordination/gateway/holderchoicetest.cpp
@@ -18,7 +18,7 @@
     return load;
 }
 
-/** How often each index is chosen for 1,000 requests; -1 for none. */
+/** Counts how often each index is chosen for 1,000 requests; -1 stands for none. */
 std::map<int, int> choices(const std::vector<TargetId> &holders, const PoolLoad &load)
 {
     std::map<int, int> counts;
@@ -40,7 +40,7 @@
     CHECK(counts.at(1) > 270);
 }
 
-TEST_CASE("a holder at the bound, one that may not be used and one that is not listed take nothing")
+TEST_CASE("a holder at the bound, an unusable one and one that is not listed get no request")
 {
     PoolLoad load = threeTargets(10, 0, 10);
     load.targets[1].usable = false;
--- a/sequoiausher/coordination/gateway/peerdirectory.cpp
+++ b/sequoiausher/coordination/gateway/peerdirectory.cpp
@@ -12,22 +12,28 @@
 
 namespace {
 
-/** A gateway that was heard of so lately is at work. */
+/** A gateway that was heard of within this time is a live member. */
 constexpr Millis memberTtl{5000};
-/** One that was not heard of for so long is forgotten: machines are replaced under other addresses. */
+/** A gateway that was not heard of for this long is forgotten, since machines are replaced under other addresses. */
 constexpr Millis peerTtl{60000};
-/** Up to so many gateways everybody reports to everybody: with more, 200 reports a second would come and go. */
+/** Up to this many gateways all report to all; with more, 200 reports a second would be sent and received. */
 constexpr std::size_t maxFleetWithoutHubs = 10;
 constexpr std::size_t minHubs = 4;
-/** Who has less than one part of so many of the strongest one's strength is no hub while there are others. */
+/**
+ * A gateway with less strength than the strongest gateway's strength divided by this is a hub only if there are too few
+ * others.
+ */
 constexpr unsigned int weakStrengthDivisor = 2;
-/** After so many rounds at a hub of another data centre a gateway tries its own again: the lists know by then. */
+/**
+ * After this many rounds at a hub of another data centre a gateway tries its own again: by then the lists are up to
+ * date.
+ */
 constexpr std::size_t maxRoundsAtRemoteHub = 16;
-/** A hub that has not answered so many reports in a row is left for the next one. */
+/** A gateway changes to the next hub once its hub has left this many consecutive reports unanswered. */
 constexpr std::uint32_t maxUnansweredReports = 2;
-/** For so long the list of hubs is kept: less than a round, so that each round goes by the present one. */
+/** How long the list of hubs is cached: less than one round, so that each round uses an up-to-date list. */
 constexpr Millis hubListTtl{250};
-/** What a fleet may have before anything is known of it. */
+/** The fleet size that is assumed before the first report. */
 constexpr std::size_t assumedFleetSize = 12;
 
 } // namespace
@@ -37,17 +43,20 @@
 public:
     struct PeerRecord
     {
-        /** When anybody last heard from it. */
+        /** When any gateway last heard from the peer. */
         Millis lastSeenAt;
         Millis newestSentAt;
         bool isHub = false;
         std::uint16_t strength = 0;
         DataCentreId dataCentre;
-        /** Of its name. */
+        /** The hash of the peer's name. */
         std::uint64_t hash = 0;
     };
 
-    /** The hubs in the order that all share, worked out anew now and then: it takes a look at every name. */
+    /**
+     * Returns the hubs in the order that all gateways share. The list is cached, because computing it visits every
+     * name.
+     */
     const std::vector<InstanceId> &hubs(Millis now)
     {
         if (!this->hasHubList || now - this->hubsUpdatedAt >= hubListTtl) {
@@ -61,16 +70,16 @@
         return this->currentHubs;
     }
 
-    /** What hubs are chosen by, worked out once for each sort. */
+    /** The properties that decide which gateways are hubs, collected once for each sort. */
     struct Candidate
     {
         std::uint16_t strength = 0;
         std::uint64_t hash = 0;
         const InstanceId *instance = nullptr;
         const DataCentreId *dataCentre = nullptr;
-        /** Too weak to carry others while there are stronger ones. */
+        /** Too weak to be a hub while there are stronger candidates. */
         bool isWeak = false;
-        /** Its place among its data centre's, 0 first. */
+        /** The rank among the candidates of the same data centre, 0 first. */
         std::size_t rankInDataCentre = 0;
     };
 
@@ -79,7 +88,9 @@
         return a.strength != b.strength ? a.strength > b.strength : a.hash < b.hash;
     }
 
-    /** The first of each data centre, then the second of each, and so on; weak ones last. */
+    /**
+     * Orders the first candidate of each data centre before the second of each, and so on; weak candidates come last.
+     */
     static bool hasHubPriority(const Candidate &a, const Candidate &b)
     {
         if (a.isWeak != b.isWeak) {
@@ -112,7 +123,7 @@
             candidate.isWeak = candidate.strength * weakStrengthDivisor < all.front().strength;
             candidate.rankInDataCentre = nextRank[*candidate.dataCentre]++;
         }
-        // So many that a hub answers about as many gateways as there are hubs, four times over.
+        // The count makes each hub answer about four times as many gateways as there are hubs.
         const auto root = static_cast<std::size_t>(std::lround(std::sqrt(static_cast<double>(all.size())) / 2));
         const std::size_t count = std::min(std::max(minHubs, root), all.size());
         std::partial_sort(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(count), all.end(), hasHubPriority);
@@ -129,7 +140,7 @@
         return found != this->known.end() && found->second.dataCentre == this->dataCentre;
     }
 
-    /** Whether it is time to go back to a hub of the own data centre, after another one had to stand in. */
+    /** Whether to return to a hub of the own data centre after a hub of another one has stood in. */
     bool shouldReturnToOwnDataCentre(const std::vector<InstanceId> &all) const
     {
         return this->roundsAtHub >= maxRoundsAtRemoteHub && !this->isInOwnDataCentre(this->hub)
@@ -138,7 +149,7 @@
                });
     }
 
-    /** The hub to which this gateway turns where its own leaves it without an answer. */
+    /** Returns the hub to use when the current one does not answer. */
     const InstanceId &nextHub(const std::vector<InstanceId> &all) const
     {
         std::vector<const InstanceId *> ownDataCentreHubs;
@@ -148,7 +159,8 @@
                 (this->isInOwnDataCentre(candidate) ? ownDataCentreHubs : remoteHubs).push_back(&candidate);
             }
         }
-        // A near one that has just failed may be named for seconds: the one after it is to be a far one.
+        // A failed hub of the own data centre may stay listed for seconds, so the hub after it is one of another data
+        // centre.
         const bool usesOwnDataCentre
             = remoteHubs.empty() || (!ownDataCentreHubs.empty() && !this->isInOwnDataCentre(this->hub));
         const std::vector<const InstanceId *> &from = usesOwnDataCentre ? ownDataCentreHubs : remoteHubs;
@@ -172,7 +184,7 @@
     std::uint16_t strength = 0;
     DataCentreId dataCentre;
     bool hasReceivedReport = false;
-    /** The hub that this gateway reports to, and how many reports it left unanswered. */
+    /** The hub that this gateway reports to, and the number of its consecutive reports that the hub left unanswered. */
     InstanceId hub;
     std::uint32_t unansweredReports = 0;
     std::size_t roundsAtHub = 0;
@@ -257,7 +269,7 @@
     this->d->roundsAtHub += 1;
     reports.push_back({this->d->hub, true});
     if (this->d->unansweredReports > 0 && hubs.size() > 1) {
-        // Where the hub is gone, the link to the next one is there once it is needed.
+        // Connects to the next hub early, so that the link exists if the current hub is gone.
         reports.push_back({this->d->nextHub(hubs), true});
     }
     this->d->unansweredReports += 1;
@@ -266,7 +278,7 @@
 
 bool PeerDirectory::mustReply(const InstanceId &peer, const GatewayReport &report, Millis now) const
 {
-    // Two gateways that take each other for none of the hubs would answer each other's answers without an end.
+    // Two gateways that both consider the other no hub would answer each other's replies endlessly.
     if (report.isReply || report.wantsReply) {
         return !report.isReply;
     }
--- a/sequoiausher/coordination/gateway/peerdirectory.h
+++ b/sequoiausher/coordination/gateway/peerdirectory.h
@@ -1,14 +1,14 @@
 #pragma once
 
-// Which gateways there are, and who reports to whom. The settings name a few, which may be stale or down; all others
-// are learnt from reports. A gateway is known by the address at which it takes its peers' links.
+// The known gateways, and which of them report to which. The settings name a few gateways, which may be stale or down;
+// all others are learnt from reports. A gateway is identified by the address at which it accepts its peers' links.
 //
-// In a small fleet everybody reports to everybody. In a large one that would cost each gateway hundreds of messages a
-// second, so a few are hubs: each gateway reports to one hub, which answers with what all others said, and the hubs
-// report to each other. Hubs are the strongest members of each data centre, among equal ones the first in the order of
-// a hash that all gateways share, and a gateway prefers one of its own data centre: so what one says crosses between
-// data centres once, from hub to hub. Nobody elects them, and whoever is asked for a reply gives one, so a difference
-// between two lists costs a little freshness and nothing else.
+// In a small fleet all gateways report to all. In a large one that would cost each gateway hundreds of messages a
+// second, so a few gateways are hubs: each gateway reports to one hub, which replies with the reports of all others,
+// and the hubs report to each other. Hubs are the strongest members of each data centre, with ties broken by the order
+// of a hash that all gateways share. A gateway prefers a hub of its own data centre, so each report crosses between
+// data centres once, from hub to hub. Hubs are not elected, and a gateway that is asked for a reply always gives one,
+// so a difference between two gateways' lists only makes some reports a little older.
 //
 //     PeerDirectory directory(self, seeds, seed);
 //     directory.recordReport(peer, report, now);
@@ -25,14 +25,14 @@
 
 namespace Sequoiausher {
 
-/** How often a round of reports goes out. */
+/** The interval between two rounds of reports. */
 inline constexpr Millis reportInterval{300};
 
 /** One report of a round. */
 struct DueReport
 {
     InstanceId peer;
-    /** The peer shall answer at once. */
+    /** The peer must reply at once. */
     bool wantsReply = false;
 };
 
@@ -45,42 +45,43 @@
     ~PeerDirectory();
 
     void setSeeds(const std::vector<InstanceId> &seeds);
-    /** How much this gateway can carry beside its callers' requests, and where it stands. */
+    /** Sets this gateway's capacity for other work than its callers' requests, and its data centre. */
     void setSelf(std::uint16_t strength, const DataCentreId &dataCentre);
-    /** A report arrived. */
+    /** Records a report from a peer. */
     void recordReport(const InstanceId &peer, const GatewayReport &report, Millis now);
 
-    /** To whom this round's reports go. */
+    /** Returns the peers that this round's reports go to, and counts the report to this gateway's hub as unanswered. */
     std::vector<DueReport> takeDueReports(Millis now);
     /**
-     * Whether the report is to be answered at once: it asks for it, or its sender has not heard of enough gateways to
-     * know how large the fleet is, and so reports to everybody it knows or takes itself for a hub.
+     * Whether the report must be answered at once: either it asks for a reply, or its sender knows too few gateways to
+     * determine the size of the fleet, and so reports to all gateways it knows or considers itself a hub.
      */
     bool mustReply(const InstanceId &peer, const GatewayReport &report, Millis now) const;
-    /** Whether there are so many that hubs carry the reports. */
+    /** Whether the fleet is large enough for hubs. */
     bool hasHubs(Millis now) const;
-    /** Whether this gateway is one of them. */
+    /** Whether this gateway is a hub. */
     bool isHub(Millis now) const;
-    /** This gateway's place in the order of the hubs, 0 first; absent where it is none of them. */
+    /** This gateway's place in the order of the hubs, 0 first; absent where it is no hub. */
     std::optional<std::size_t> hubRank(Millis now) const;
     /** Whether the peer is a hub that comes before this gateway in the order of the hubs. */
     bool comesBefore(const InstanceId &peer, Millis now) const;
-    /** Whether peer said that it is one. */
+    /** Whether the peer's last report stated that it is a hub. */
     bool isHub(const InstanceId &peer) const;
-    /** Those peers that said so. */
+    /** The peers whose last report stated that they are hubs. */
     std::vector<InstanceId> hubPeers() const;
 
-    /** Those who may be sent to: seeds and whoever was heard of lately. */
+    /** The peers that reports may be sent to: the seeds and all gateways that were heard of recently. */
     std::vector<InstanceId> peers() const;
     bool hasPeers() const;
-    /** Those heard of within a few seconds, without this gateway. */
+    /** The gateways that were heard of within a few seconds, without this gateway. */
     std::vector<GatewayMember> members(Millis now) const;
     /**
-     * How many gateways the fleet has at most, for shares of what all may do together. Those that were heard of within
-     * a minute count, since one that is cut off may still be at work; before the first report there may be many.
+     * The maximum number of gateways in the fleet, for shares of fleet-wide limits. Gateways that were heard of within
+     * a minute count, because a gateway that is cut off may still be running. Before the first report there may be
+     * many.
      */
     std::size_t fleetSize(Millis now) const;
-    /** sentAt of the newest report from peer; 0 for none. */
+    /** sentAt of the newest report from the peer; 0 for none. */
     Millis newestReportFrom(const InstanceId &peer) const;
 
 private:
--- a/sequoiausher/coordination/gateway/peerdirectorytest.cpp
+++ b/sequoiausher/coordination/gateway/peerdirectorytest.cpp
@@ -21,7 +21,7 @@
     return DataCentreId{std::string(1, static_cast<char>('a' + i % 6))};
 }
 
-/** Gateways that send each other the reports that are due, some of them dead. */
+/** Gateways that send each other the reports that are due; some of them are dead. */
 class Fleet
 {
 public:
@@ -89,7 +89,7 @@
 
 } // namespace
 
-TEST_CASE("all gateways learn of all others from three seeds, of which one is stale")
+TEST_CASE("all gateways learn of all others from three seeds, one of them stale")
 {
     for (const std::size_t size : {7UL, 66UL, 300UL}) {
         CAPTURE(size);
@@ -105,20 +105,21 @@
     }
 }
 
-TEST_CASE("what a large fleet says in a round grows with its size, not with its square")
+TEST_CASE("the number of reports per round of a large fleet grows with its size, not with its square")
 {
     Fleet fleet(300);
     for (int round = 1; round <= 15; ++round) {
         fleet.round(Millis{round * 300});
     }
-    // Each gateway's report and its reply, and those between nine hubs.
+    // Each gateway's report and the reply, and the reports between nine hubs.
     CHECK(fleet.hubCount(Millis{4500}) == 9);
     CHECK(fleet.sent < 300 * 2 + 9 * 8);
 }
 
-// Symptom: a change of the routes took seconds to reach a part of the fleet. Events: the configuration grows to half a
-// megabyte, and a hub on a slow link passes it on to twenty others. Cause: hubs were chosen whatever they can carry.
-TEST_CASE("hubs are among the strongest")
+// Guards against hubs with too little capacity. When hubs were chosen regardless of strength, a hub on a slow link
+// passed a configuration of half a megabyte on to twenty gateways, and a change of the routes took seconds to reach
+// them.
+TEST_CASE("hubs are among the strongest gateways")
 {
     Fleet fleet(66);
     for (int round = 1; round <= 12; ++round) {
@@ -129,8 +130,8 @@
     }
 }
 
-// Symptom: a tenth of a fleet refused all keyed requests for seconds. Events: a hub dies, and its gateways go on asking
-// it for proofs. Cause: nobody looked for another one.
+// Guards against gateways that stay with a dead hub. When they kept asking it for proofs, a tenth of a fleet refused
+// all keyed requests for seconds.
 TEST_CASE("gateways whose hub is dead report to another one within three rounds")
 {
     Fleet fleet(66);
@@ -162,10 +163,9 @@
     CHECK(fleet.hubCount(Millis{9000}) == 4);
 }
 
-// Symptom: two gateways sent each other thousands of reports a second, and nothing else went on.
-// Events: each of them knows of a large fleet, and takes the other for none of its hubs; one report goes out.
-// Cause: an answer was answered like a report.
-TEST_CASE("an answer is never answered")
+// Guards against endless replies. Two gateways know of a large fleet, and each considers the other no hub. When replies
+// were answered like reports, one report made them send each other thousands a second, and they did nothing else.
+TEST_CASE("a reply is never answered")
 {
     Fleet fleet(66);
     for (int round = 1; round <= 12; ++round) {
@@ -179,7 +179,7 @@
     }
 }
 
-TEST_CASE("one that is silent is no member soon, and is forgotten after a minute")
+TEST_CASE("a silent gateway soon is no member, and is forgotten after a minute")
 {
     PeerDirectory directory(nameOf(0), {nameOf(1)}, 1);
     CHECK(directory.fleetSize(Millis{0}) == 12);
@@ -196,10 +196,10 @@
     CHECK(directory.peers() == std::vector{nameOf(1)});
 }
 
-// Symptom: most of the bytes between data centres were reports. Events: 295 gateways in six data centres report three
-// times a second, each to a hub that it found by a hash. Cause: five in six of these hubs stood elsewhere, and nothing
-// saw to it that each data centre has one.
-TEST_CASE("each data centre has a hub, to which its gateways report")
+// Guards against reports that cross between data centres needlessly. 295 gateways in six data centres report three
+// times a second. When each chose its hub by a hash, five in six hubs were in another data centre, no rule gave each
+// data centre a hub, and reports made up most of the bytes between data centres.
+TEST_CASE("each data centre has a hub, and its gateways report to that hub")
 {
     Fleet fleet(295);
     for (int round = 1; round <= 40; ++round) {
@@ -223,7 +223,7 @@
     CHECK(near == others);
 }
 
-TEST_CASE("a gateway whose hub died turns to one of another data centre, and back once its own has one")
+TEST_CASE("a gateway whose hub died uses one of another data centre, and returns once its own has one")
 {
     Fleet fleet(66);
     for (int round = 1; round <= 12; ++round) {
@@ -253,7 +253,7 @@
     CHECK(fleet.directories[fleet.indexes.at(last)].isHub(Millis{61 * 300}));
 }
 
-TEST_CASE("a weak gateway is no hub for its data centre's sake")
+TEST_CASE("a weak gateway does not become a hub only because its data centre has no other")
 {
     PeerDirectory directory(nameOf(0), {}, 1);
     directory.setSelf(1, DataCentreId{"lonely"});
--- a/sequoiausher/coordination/gateway/prefixdirectory.cpp
+++ b/sequoiausher/coordination/gateway/prefixdirectory.cpp
@@ -12,11 +12,13 @@
 
 namespace {
 
-/** A part in steady use is told again after this part of its life, so that peers do not forget it. */
+/** A part in steady use is announced again after the TTL divided by this, so that peers do not forget it. */
 constexpr std::int64_t repeatTtlDivisor = 4;
-/** The most placements in one report; the rest waits for the next. */
+/** The maximum number of placements in one report; the others follow in the next report. */
 constexpr std::size_t maxUpdatesPerReport = 256;
-/** News that are kept for peers that ask rarely; older ones are told again when they are a quarter of their life old.
+/**
+ * Updates that are kept for peers that request them rarely. Older placements are announced again after a quarter of
+ * their TTL.
  */
 constexpr std::size_t maxKeptUpdates = 2048;
 
@@ -31,7 +33,7 @@
 {
     TargetId target;
     Millis lastUsedAt;
-    /** When peers last heard of it; absent before the first time. */
+    /** When the placement was last announced to peers; absent before the first time. */
     std::optional<Millis> announcedAt;
 };
 
@@ -83,7 +85,7 @@
     }
 
     PrefixDirectorySettings settings;
-    /** The part that was asked for last stands first. */
+    /** The most recently used part comes first. */
     EntryList entries;
     std::unordered_map<std::uint64_t, EntryList::iterator> entryOfPart;
     void addUpdate(PlacementUpdate item)
@@ -96,7 +98,7 @@
     }
 
     std::deque<PlacementUpdate> updates;
-    /** The number of the oldest item in news. */
+    /** The number of the oldest item in updates. */
     std::uint64_t firstUpdateNumber = 0;
     /** The number of the next item for each peer. */
     std::map<InstanceId, std::uint64_t> nextUpdateFor;
@@ -129,7 +131,7 @@
 {
     Holder &holder = this->d->holderOf(this->d->findOrAdd(part), target, now);
     holder.lastUsedAt = now;
-    // Whoever told this told everybody, or this gateway does.
+    // The peer announced this placement to all gateways, or this gateway passes it on.
     holder.announcedAt = now;
     if (scope != UpdateScope::Own) {
         this->d->addUpdate({{part, target}, peer, scope});
--- a/sequoiausher/coordination/gateway/prefixdirectory.h
+++ b/sequoiausher/coordination/gateway/prefixdirectory.h
@@ -1,14 +1,14 @@
 #pragma once
 
-// Which targets have lately read which shared part of a prompt, as far as this gateway and its peers sent it there. A
-// part's requests stay where it was read: without this a new target, which by rendezvous order comes first for its
-// share of the parts, would read all of them again, and so would every target that a full one sends requests on to.
+// Which targets have recently read which shared part of a prompt, as far as this gateway and its peers sent it there.
+// Requests with a part stay where it was read. Without this, a new target, which comes first in rendezvous order for
+// its share of the parts, would read all of these again, and so would each target that takes requests from a full one.
 //
 //     PrefixDirectory directory;
-//     directory.sent(part, target, now);                 // by this gateway
-//     directory.heard(part, target, now);                // by a peer
+//     directory.recordSent(part, target, now);                                   // by this gateway
+//     directory.recordPeerPlacement(peer, part, target, now, UpdateScope::Own);  // by a peer
 //     for (const TargetId &target : directory.holders(part, now)) { ... }
-//     report.placements = directory.newsFor(peer, UpdateScope::All);
+//     report.placements = directory.takeUpdates(peer, UpdateScope::All);
 
 #include "sequoiausher/base/identifiers.h"
 #include "sequoiausher/base/millis.h"
@@ -20,52 +20,58 @@
 
 namespace Sequoiausher {
 
-/** To whom news that was heard goes on. */
+/** The gateways to which an update from a peer is passed on. */
 enum class UpdateScope {
-    /** To nobody: whoever told it told everybody. */
+    /** To none: its sender has sent it to all gateways. */
     Own,
-    /** A hub tells the other hubs what its own gateways told it. */
+    /** A hub passes updates of its own gateways on to the other hubs. */
     Group,
-    /** A hub tells its gateways everything. */
+    /** A hub passes all updates on to its gateways. */
     All,
 };
 
 /** Bounds of the directory. */
 struct PrefixDirectorySettings
 {
-    /** A target has most likely dropped a part that nobody asked it for in so long. */
+    /** A target has most likely evicted a part that was not requested there for this long. */
     Millis ttl{60000};
-    /** Parts that are remembered, some 150 bytes each; beyond them the one asked for longest ago goes. */
+    /**
+     * The number of parts that are remembered, about 150 bytes each; beyond it the least recently used part is removed.
+     */
     std::size_t maxParts = 20000;
-    /** Targets that are remembered for each part: over so many a part in heavy use spreads. */
+    /** The number of targets that are remembered for each part; a hot part spreads over this many. */
     std::size_t maxHolders = 16;
 };
 
-/** The directory. Not thread-safe. */
+/** The placements of parts. Not thread-safe. */
 class PrefixDirectory
 {
 public:
     explicit PrefixDirectory(const PrefixDirectorySettings &settings = {});
     ~PrefixDirectory();
 
-    /** This gateway sends a request with the part to the target. */
+    /** Records that this gateway sends a request with the part to the target. */
     void recordSent(std::uint64_t part, const TargetId &target, Millis now);
-    /** A peer did. @param isPassedOn by hubs: others are told of it too. */
+    /**
+     * Records that a peer sent a request with the part to the target. @param scope the gateways to which a hub passes
+     * it on.
+     */
     void recordPeerPlacement(const InstanceId &peer,
                              std::uint64_t part,
                              const TargetId &target,
                              Millis now,
                              UpdateScope scope);
-    /** The part could not be read there. */
+    /** Records that the target could not read the part. */
     void removeHolder(std::uint64_t part, const TargetId &target);
 
-    /** The targets that have it, the first to have it first, so that all gateways prefer the same one. */
+    /** The targets that hold the part, the earliest holder first, so that all gateways prefer the same one. */
     std::vector<TargetId> holders(std::uint64_t part, Millis now) const;
 
     /**
-     * What peer should hear since it was last told: placements that are new, or were last told long ago, none of its
-     * own.
-     * @param scope what of others' news the peer gets; a peer that asks for the first time is told what is still held.
+     * Returns the placements that the peer has not been sent yet: new ones, and those last announced long ago, without
+     * the peer's own.
+     * @param scope which updates of other gateways the peer gets. A peer that asks for the first time gets all that are
+     * still kept.
      */
     std::vector<GatewayPlacement> takeUpdates(const InstanceId &peer, UpdateScope scope);
     std::size_t size() const;
--- a/sequoiausher/coordination/gateway/prefixdirectorytest.cpp
+++ b/sequoiausher/coordination/gateway/prefixdirectorytest.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-TEST_CASE("a part is where it was sent, the first place first, until nobody asks for it")
+TEST_CASE("targets hold the parts sent there, the earliest holder first, until a part is no longer used")
 {
     PrefixDirectory directory;
     CHECK(directory.holders(1, Millis{0}).empty());
@@ -25,7 +25,7 @@
     CHECK(directory.holders(1, Millis{61000}).empty());
 }
 
-TEST_CASE("peers hear of a placement once, and again while it stays in use")
+TEST_CASE("a placement is announced to peers once, and again while it stays in use")
 {
     PrefixDirectory directory;
     directory.recordSent(1, a, Millis{0});
@@ -40,7 +40,7 @@
     CHECK(directory.takeUpdates(peer, UpdateScope::Own).empty());
 }
 
-TEST_CASE("a hub passes on what it hears: from its gateways to all, from other hubs to its gateways")
+TEST_CASE("a hub passes updates on: from its gateways to all, from other hubs to its gateways")
 {
     PrefixDirectory directory;
     const InstanceId gateway{"g"};
@@ -56,7 +56,7 @@
     CHECK(directory.takeUpdates(peer, UpdateScope::All).empty());
 }
 
-TEST_CASE("what is remembered is bounded")
+TEST_CASE("the numbers of parts, holders and updates are bounded")
 {
     PrefixDirectory directory({.ttl = Millis{60000}, .maxParts = 10, .maxHolders = 2});
     for (std::uint64_t part = 0; part < 100; ++part) {
--- a/sequoiausher/coordination/gateway/promptparts.cpp
+++ b/sequoiausher/coordination/gateway/promptparts.cpp
@@ -7,8 +7,9 @@
 namespace {
 
 /**
- * Of a part that longer beginnings contain so many targets are remembered: it is in wide use, most targets have it, and
- * all that is asked of the directory is a sound one to copy from. Each more would be told to every gateway.
+ * How many targets are remembered for a part that is not the last shared part. Such a part is in wide use and most
+ * targets have it. The directory only needs a sound target to copy it from, and each additional one would be announced
+ * to every gateway.
  */
 constexpr std::size_t maxCopySources = 3;
 
--- a/sequoiausher/coordination/gateway/promptparts.h
+++ b/sequoiausher/coordination/gateway/promptparts.h
@@ -1,12 +1,13 @@
 #pragma once
 
-// Where the parts of a prompt are cached: which targets to prefer for it, what to remember once it was sent, and from
-// which other target one that lacks a part should copy it.
+// Where the parts of a prompt are cached: which targets to prefer for the prompt, what to record once it was sent, and
+// from which target another one that lacks a part should copy it.
 //
 //     const PromptParts parts({hash64("system"), hash64("manual"), hash64("own question")});
 //     criteria.holders = parts.holders(directory, now);
-//     if (const auto source = parts.findCopySource(directory, board, target, now)) { order.copyFrom = source->address;
-//     } parts.sent(directory, target, now);
+//     const auto source = parts.findCopySource(directory, board, target, now);
+//     if (source) { order.copyFrom = source->address; }
+//     parts.recordSent(directory, target, now);
 
 #include "sequoiausher/coordination/gateway/prefixdirectory.h"
 #include "sequoiausher/coordination/gateway/targetboard.h"
@@ -22,25 +23,25 @@
 {
 public:
     PromptParts() = default;
-    /** @param all hashes of all parts in order. The last is the request's own, unless it is the only one. */
+    /** @param all hashes of all parts in order. The last part is the request's own, unless it is the only one. */
     explicit PromptParts(const std::vector<std::uint64_t> &all);
 
     bool empty() const;
-    /** The last shared part: whoever has it cached most likely has those before it. 0 where there is none. */
+    /** The last shared part: a target that has it cached most likely has those before it too. 0 where there is none. */
     std::uint64_t last() const;
     /** The first part; 0 where there is none. */
     std::uint64_t first() const;
 
-    /** The targets that have the last shared part. */
+    /** The targets that hold the last shared part. */
     std::vector<TargetId> holders(const PrefixDirectory &directory, Millis now) const;
     /**
-     * A sound target from which to should copy the longest beginning of the prompt that any target has; none where to
-     * has it itself, or nobody does. Copying a part of 1,000 tokens takes about a millisecond where reading it
-     * takes 18.
+     * Finds a sound target from which the target "to" should copy the longest beginning of the prompt that any target
+     * holds. None if "to" holds that beginning itself, or if no target does. Copying a part of 1,000 tokens takes about
+     * a millisecond, whereas reading it takes 18.
      */
     std::optional<GatewayTarget>
     findCopySource(const PrefixDirectory &directory, TargetBoard &board, const TargetId &to, Millis now) const;
-    /** The prompt goes to the target, which will have its shared parts. */
+    /** Records that the prompt goes to the target, which will hold its shared parts. */
     void recordSent(PrefixDirectory &directory, const TargetId &to, Millis now) const;
 
 private:
--- a/sequoiausher/coordination/gateway/promptpartstest.cpp
+++ b/sequoiausher/coordination/gateway/promptpartstest.cpp
@@ -48,8 +48,9 @@
     CHECK(parts.last() == 2);
 }
 
-// Symptom: after a spill to a second target, or the replacement of one, prompts of 8,000 tokens were read anew, 140 ms
-// each, while the part stood in the cache of a target beside it. Cause: nobody told the second target where to copy it.
+// Guards against reading prompts again that another target has cached. After requests moved on to a second target, or a
+// target was replaced, prompts of 8,000 tokens were read again in 140 ms each while a target beside it had the part in
+// its cache, because the second target was not given a source to copy from.
 TEST_CASE("a target that lacks the shared part copies it from a sound one that has it")
 {
     Fleet fleet;
@@ -58,13 +59,13 @@
     parts.recordSent(fleet.directory, one, now);
     CHECK(fleet.source(parts, one).empty());
     CHECK(fleet.source(parts, two) == "t1:80");
-    SUBCASE("the least busy of several")
+    SUBCASE("from the least loaded of several")
     {
         parts.recordSent(fleet.directory, two, now);
         fleet.board.recordStart(one);
         CHECK(fleet.source(parts, three) == "t2:80");
     }
-    SUBCASE("not from one that gives no answers, or is gone")
+    SUBCASE("not from a target that does not answer, or is gone")
     {
         fleet.board.recordStart(one);
         fleet.board.recordStart(one);
@@ -74,7 +75,7 @@
         fleet.board.setTargets({target(two), target(three)}, now);
         CHECK(fleet.source(parts, two).empty());
     }
-    SUBCASE("the longest beginning that anybody has")
+    SUBCASE("from a holder of the longest beginning")
     {
         const PromptParts other({1, 9, 4});
         CHECK(fleet.source(other, two) == "t1:80");
@@ -84,7 +85,7 @@
     }
 }
 
-TEST_CASE("of a part in wide use a few holders are remembered, of the last one all that the directory takes")
+TEST_CASE("few holders of a widely used part are remembered, but all that the directory takes for the last part")
 {
     Fleet fleet;
     for (std::uint64_t i = 0; i < 5; ++i) {
--- a/sequoiausher/coordination/gateway/restoredstoretest.cpp
+++ b/sequoiausher/coordination/gateway/restoredstoretest.cpp
@@ -4,7 +4,7 @@
 
 using namespace Sequoiausher;
 
-// Guards against a key that opens routes again since a copy of the store knows of no version that took it away.
+// Guards against a revoked key that opens routes again, because the copy lacks the version that revoked the key.
 TEST_CASE("a copy's older version proves nothing until the newest one is written again")
 {
     RestoredStore restored;
@@ -16,7 +16,7 @@
     {
         CHECK(restored.provesNothingNewer(7, 13, Millis{1200}));
     }
-    SUBCASE("a newer one, which no gateway had seen")
+    SUBCASE("a newer version, which no gateway had read")
     {
         CHECK(restored.provesNothingNewer(9, 13, Millis{1200}));
         CHECK_FALSE(restored.provesNothingNewer(6, 12, Millis{1300}));
@@ -24,7 +24,7 @@
 }
 
 // Guards against a version that was accepted, and lost before any gateway had read it.
-TEST_CASE("a copy's version that is the newest known proves only after the operator had time to write again")
+TEST_CASE("a copy's version that is the newest known one counts as proof only after the time for writing again")
 {
     RestoredStore restored;
     restored.recordReturn(7, Millis{1000});
--- a/sequoiausher/coordination/gateway/routetable.cpp
+++ b/sequoiausher/coordination/gateway/routetable.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** The host in lower case without its port. */
+/** Returns the host in lower case without its port. */
 std::string normaliseHost(std::string_view host)
 {
     std::string normalised(host.substr(0, host.find(':')));
@@ -64,7 +64,8 @@
     if (routes == this->d->byHost.end()) {
         return nullptr;
     }
-    // Prefixes end with a slash, so only what ends with one can be a prefix: from the longest to the shortest.
+    // Path prefixes end with a slash, so only a beginning of the path that ends with one can match. Tries the longest
+    // first.
     const std::string_view path = target.substr(0, target.find('?'));
     std::size_t slash = path.rfind('/');
     while (slash != std::string_view::npos) {
--- a/sequoiausher/coordination/gateway/routetable.h
+++ b/sequoiausher/coordination/gateway/routetable.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// One version of a gateway's configuration, made searchable. Immutable: a request keeps the table that it was routed
-// by.
+// One version of a gateway's configuration with lookups by host and path, key and service. Immutable: a request keeps
+// the table by which it was routed.
 //
 //     const RouteTable table(configuration);
 //     const GatewayRoute *route = table.find("plates.example", "/orders/17?full=1");
@@ -14,7 +14,7 @@
 
 namespace Sequoiausher {
 
-/** A searchable configuration. */
+/** A configuration with its lookup tables. */
 class RouteTable
 {
 public:
@@ -25,18 +25,18 @@
 
     const GatewayConfiguration &configuration() const;
     /**
-     * Of the routes of host, the one with the longest prefix that begins the path; nullptr where none does.
+     * Finds the route of the host with the longest prefix of the path; nullptr where no route matches.
      * @param host in any case, with or without a port. @param target path and query.
      */
     const GatewayRoute *find(std::string_view host, std::string_view target) const;
-    /** Whose key it is; nullptr where nobody's. */
+    /** The organisation that owns the key; nullptr where none does. */
     const GatewayOrganisation *organisationOf(std::string_view key) const;
     /** Whether requests on routes that are not public need a key. */
     bool needsKeys() const;
-    /** nullptr where there is none of that name. */
+    /** The service of that name; nullptr where there is none. */
     const GatewayService *service(const PoolId &name) const;
 
-    /** Which of the route's services takes the request, by their weights; the same for the same hash. */
+    /** Chooses the route's service for the request by the services' weights; the same service for the same hash. */
     static const PoolId &chooseService(const GatewayRoute &route, std::uint64_t hash);
 
 private:
--- a/sequoiausher/coordination/gateway/routetabletest.cpp
+++ b/sequoiausher/coordination/gateway/routetabletest.cpp
@@ -41,7 +41,7 @@
     CHECK(nameAt("x.example", "") == "none");
 }
 
-TEST_CASE("keys are exact, and weights share requests out")
+TEST_CASE("keys match exactly, and requests are distributed by weight")
 {
     GatewayConfiguration configuration;
     configuration.organisations = {{OrganisationId{"garage"}, {"k1", "k2"}, 1}};
--- a/sequoiausher/coordination/gateway/storeduty.cpp
+++ b/sequoiausher/coordination/gateway/storeduty.cpp
@@ -8,28 +8,35 @@
 
 namespace {
 
-/** A gateway whom the store has not told of targets for so long hears of them from its peers. */
+/**
+ * A gateway without an answer of the store about targets for this long gets its knowledge of targets from its peers.
+ */
 constexpr Millis storeAnswerTtl{1500};
-/** After its first reading a gateway gives its peers so long to be found: four rounds of reports. */
+/** How long a gateway waits after its first full read for its peers to be found: four rounds of reports. */
 constexpr Millis startupFollowTime{1200};
-/** What two rounds of reports between hubs take, one of them late. */
+/** The duration of two rounds of reports between hubs, one of them late. */
 constexpr Millis twoHubRoundsTime{700};
-/** How much later the other hubs try than the second one: a round, in which they hear that it reads. */
+/** The further delay of hubs after the second one: one round, in which they learn that the second hub reads. */
 constexpr Millis hubRoundTime{300};
-/** The part of the leave bound that each step from the store to a gateway may add, five of them with the last report.
+/**
+ * Each step from the store to a gateway may add the leave bound divided by this; there are five steps with the last
+ * report.
  */
 constexpr std::int64_t leaveBoundDivisor = 5;
-/** The first hub's knowledge is younger than this part of the leave bound. */
+/** The first hub's knowledge is younger than the leave bound divided by this. */
 constexpr std::int64_t firstHubProofDivisor = 8;
-/** A proof is asked for by who rests once two fifths of the time are over in which it opens routes. */
+/** A gateway that follows its peers requests a proof after two fifths of the time in which a proof opens routes. */
 constexpr std::int64_t followerProofNumerator = 2;
 constexpr std::int64_t followerProofDenominator = 5;
-/** A fleet shall call a store that does not answer some ten times a second in all. */
+/** All gateways together should call a store that does not answer about ten times a second. */
 constexpr Millis storePausePerGateway{100};
 constexpr Millis minRetrySpread{1200};
-/** A gateway that alone reaches the store, or alone lost its peers, must hear of a target that leaves in time. */
+/**
+ * The upper limit of a pause, since a gateway that is the only one to reach the store, or that has lost all peers, must
+ * learn of a leaving target in time.
+ */
 constexpr Millis maxStorePause{4000};
-/** Claims that wait for the list; in a storm of changes the oldest ones tell least. */
+/** Claims that wait for the list; during many changes at once the oldest claims contain the least information. */
 constexpr std::size_t maxPendingClaims = 32;
 
 Millis ageOf(Millis at, Millis now)
@@ -157,7 +164,8 @@
             && ageOf(known, now) < (*role.hubRank == 1 ? this->secondHubMaxAge() : this->otherHubMaxAge());
     }
     const Millis age = ageOf(std::max(this->knownByPeersAt, this->firstFullReadAt), now);
-    // A hub that is in touch and knows nothing tries itself, and so do the others: all at once would not help it.
+    // A hub that is reachable and has no recent knowledge retries the store, and so do the other hubs. If all gateways
+    // called the store at once, that would not help.
     return age < this->followerMaxAge()
         || (this->hasHubContact(now) && age < this->followerMaxAge() + this->retryDelay(role));
 }
--- a/sequoiausher/coordination/gateway/storeduty.h
+++ b/sequoiausher/coordination/gateway/storeduty.h
@@ -1,18 +1,20 @@
 #pragma once
 
-// Whether a gateway reads the platform's store itself, or rests on what its peers read there. Every call to the store
-// is one that others do not get, and 300 gateways that all read it would make thousands of calls a second.
+// Whether a gateway reads the platform's store itself or follows what its peers read there. Each call uses capacity of
+// the store that its other callers then lack, and if each of 300 gateways read the store, they would make thousands of
+// calls a second.
 //
-// In a fleet with hubs the first hub reads; the other hubs hear what it reads, and all others hear it from a hub. Each
-// report says how old its sender's knowledge of the store is at the most, counted back from the report that it answers:
-// so knowledge that goes around in a circle grows old, and whoever misses it reads for itself, the second hub soonest,
-// then the other hubs, then everybody. Nobody is elected: two that both take themselves for the first both read.
+// In a fleet with hubs the first hub reads the store, the other hubs get its results, and all other gateways get them
+// from a hub. Each report states the maximum age of its sender's knowledge of the store, counted back from the report
+// that it answers. So knowledge that is passed around in a circle ages, and a gateway whose knowledge is too old reads
+// the store itself: the second hub first, then the other hubs, then all gateways. There is no election: if two hubs
+// both consider themselves the first, both read.
 //
-// A word says how the store was; it tells how old this gateway's list of targets is only once that list has come as
-// far.
+// A report describes the state of the store. It counts as the age of this gateway's list of targets only once that list
+// has reached the revision of the report.
 //
 //     StoreDuty duty(settings, seed);
-//     duty.heard({report.storeAge, report.echo, isFromHub, isFirstHand, comesBefore, report.targets}, now);
+//     duty.recordPeerReport({report.storeAge, report.echo, isFromHub, readsStore, comesBefore, report.targets}, now);
 //     duty.recordListRevision(list.revision());
 //     watcher.setResting(duty.mayFollowPeers(role, now));
 
@@ -26,86 +28,89 @@
 
 namespace Sequoiausher {
 
-/** The bounds that reading must keep. */
+/** The time limits that reads of the store must meet. */
 struct StoreDutySettings
 {
-    /** So long after the store's word that a target leaves, no gateway may send it anything. */
+    /** How long after the store's update that a target leaves a gateway may still send requests to that target. */
     Millis leaveBound{2000};
-    /** So long after a key was taken away it may open routes. */
+    /** How long a key may open routes after its removal. */
     Millis keyFreshness{5000};
-    /** How old the proof of the configuration may get where all read, before one of them reads it again. */
+    /** The age of the configuration's proof at which one gateway reads it again, where all gateways read the store. */
     Millis proofInterval{800};
 };
 
-/** What a peer's report says of the store. */
+/** What a peer's report states about the store. */
 struct PeerStoreReport
 {
-    /** How old the sender's knowledge is; never() where it has none. */
+    /** The age of the sender's knowledge; never() where it has none. */
     Millis age = Millis::never();
-    /** When the receiver sent the report that the sender had before; 0 for none. */
+    /** When the receiver sent the report that the sender received last; 0 for none. */
     Millis echo;
     bool isFromHub = false;
     /** The sender reads the store itself. */
     bool readsStore = false;
-    /** Among hubs the sender comes before the receiver. */
+    /** The sender is a hub that comes before the receiver in the order of the hubs. */
     bool comesBefore = false;
     /** The store's revision up to which the sender's list of targets is complete. */
     Revision revision = 0;
 };
 
-/** What this gateway is to the fleet, as it sees it. */
+/** The role of this gateway in the fleet, as this gateway sees it. */
 struct StoreRole
 {
-    /** There are others that it knows by name. */
+    /** This gateway has the names of other gateways. */
     bool hasPeers = false;
     bool hasHubs = false;
-    /** This gateway's place among the hubs, 0 first; absent where it is none. */
+    /** This gateway's place in the order of the hubs, 0 first; absent where it is no hub. */
     std::optional<std::size_t> hubRank;
     std::size_t fleetSize = 1;
 };
 
-/** The longest pause between two calls that fail, where nobody else tries. */
+/** The longest pause between two failed calls, where no other gateway tries. */
 inline constexpr Millis baseStorePause{800};
 
-/** One gateway's part in reading the store. Not thread-safe. */
+/** Decides for one gateway whether it reads the store. Not thread-safe. */
 class StoreDuty
 {
 public:
-    /** @param seed of the generator by which gateways that must try do so one after the other. */
+    /** @param seed of the generator that spreads the retries of the gateways over time. */
     StoreDuty(const StoreDutySettings &settings, std::uint64_t seed);
 
     void setSettings(const StoreDutySettings &newSettings);
-    /** The store told this gateway itself of all targets, as they were at that moment or later. */
+    /** Records an answer of the store with all targets as they were at that moment or later. */
     void recordStoreAnswer(Millis at);
     /**
-     * The store said itself that it was at revision at that moment or later. Where the list has not come as far, that
-     * proves nothing until it has.
+     * Records an answer of the store that it was at the revision at that moment or later. If the list has not reached
+     * that revision, the answer proves nothing until it has.
      */
     void recordStoreRevision(Revision revision, Millis at);
-    /** The list of targets is complete up to that revision of the store, whoever told it. */
+    /** Records that the list of targets is complete up to that revision of the store, whatever its source. */
     void recordListRevision(Revision revision);
-    /** This gateway has asked for all of it, and was answered, for the first time. */
+    /** Records that this gateway requested all data of the store and got an answer. Only the first call counts. */
     void recordFirstFullRead(Millis at);
     void recordPeerReport(const PeerStoreReport &report, Millis now);
 
-    /** Whether this gateway lists and watches nothing for now. */
+    /** Whether this gateway need not list or watch the store for now. */
     bool mayFollowPeers(const StoreRole &role, Millis now) const;
-    /** Whether the store itself has lately told this gateway how the targets are. */
+    /** Whether this gateway itself recently got an answer of the store about the targets. */
     bool hasRecentStoreAnswer(Millis now) const;
-    /** How old this gateway's knowledge is, whoever read it; never() where it has none. */
+    /** The age of this gateway's knowledge, whichever gateway read it; never() where it has none. */
     Millis knowledgeAge(Millis now) const;
-    /** Whether it is young enough to be told to others. */
+    /** Whether the knowledge is young enough to be reported to others. */
     bool mayShareKnowledge(Millis now) const;
-    /** How old the proof of the configuration may get before this gateway reads it. */
+    /** The age of the configuration's proof at which this gateway reads it again. */
     Millis maxProofAge(const StoreRole &role, Millis now) const;
-    /** The longest pause between two calls that fail: the fleet together shall not press a store that is away. */
+    /** The longest pause between two failed calls: the fleet together must not overload a store that is unavailable. */
     Millis maxRetryPause(const StoreRole &role) const;
 
 private:
     Millis secondHubMaxAge() const;
     Millis otherHubMaxAge() const;
     Millis followerMaxAge() const;
-    /** By how much this gateway tries later than the first one does, where a hub in touch does not reach the store. */
+    /**
+     * How much later this gateway tries than the first one does, where a hub is reachable that does not reach the
+     * store.
+     */
     Millis retryDelay(const StoreRole &role) const;
     bool hasHubContact(Millis now) const;
 
@@ -115,7 +120,7 @@
         EarlierHub,
         Peer,
     };
-    /** At that moment the store was at revision, or further. */
+    /** The store was at the revision, or a later one, at that moment. */
     struct Claim
     {
         Revision revision = 0;
@@ -126,18 +131,18 @@
     void applyClaim(const Claim &claim);
 
     StoreDutySettings settings;
-    /** From 0 up to 1: this gateway's place in the order in which all try. */
+    /** From 0 up to 1: this gateway's place in the order in which all gateways try. */
     double retryOrder = 0;
     Revision listRevision = 0;
-    /** Claims that are ahead of the list, the oldest first. */
+    /** Claims with a later revision than the list's, the oldest first. */
     std::deque<Claim> pendingClaims;
     Millis storeAnsweredAt;
     Millis firstFullReadAt;
-    /** What is surely known of the store by peers' words: all up to that moment. */
+    /** The moment up to which peers' reports prove the state of the store. */
     Millis knownByPeersAt;
-    /** The same by hubs that come before this one and read the store themselves. */
+    /** The same moment, counting only reports of hubs that come before this one and read the store themselves. */
     Millis knownByEarlierHubAt;
-    /** When the newest report was sent that a hub answered. */
+    /** When this gateway sent the newest report that a hub answered. */
     Millis hubContactAt;
 };
 
--- a/sequoiausher/coordination/gateway/storedutytest.cpp
+++ b/sequoiausher/coordination/gateway/storedutytest.cpp
@@ -29,7 +29,7 @@
     return DataCentreId{std::string(1, static_cast<char>('a' + i % 6))};
 }
 
-/** A fleet whose gateways report to each other, and of which some read a store. All start at second 1. */
+/** A fleet of gateways that report to each other and of which some read a store. All start at second 1. */
 class Fleet
 {
 public:
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Goes on for so long; the count of readings and of watches that were begun. */
+    /** Runs the fleet for the given time. @return the number of reads and watches that were started. */
     std::size_t run(Millis time)
     {
         const std::size_t before = this->readings;
@@ -58,7 +58,7 @@
         return this->readings - before;
     }
 
-    /** The oldest knowledge that any gateway has which is alive and in touch with the others. */
+    /** The age of the oldest knowledge among the gateways that are alive and not cut off. */
     Millis oldestKnowledge() const
     {
         Millis oldest;
@@ -80,7 +80,7 @@
         return count;
     }
 
-    /** The first hub by everybody's order. */
+    /** The first hub in the order that all gateways share. */
     std::size_t firstHub() const
     {
         for (std::size_t i = 0; i < this->gateways.size(); ++i) {
@@ -92,9 +92,9 @@
     }
 
     std::set<std::size_t> dead;
-    /** Those that neither reach the others nor the store. */
+    /** Gateways that reach neither the others nor the store. */
     std::set<std::size_t> isolated;
-    /** Those that the store turns away. */
+    /** Gateways that the store refuses. */
     std::set<std::size_t> refused;
 
 private:
@@ -153,7 +153,7 @@
 
     void read(Gateway &gateway, std::size_t i)
     {
-        // A call of one that is cut off reaches nobody.
+        // A call of an isolated gateway does not reach the store.
         this->readings += this->isolated.contains(i) ? 0 : 1;
         if (this->reaches(i)) {
             gateway.duty.recordStoreAnswer(this->now);
@@ -220,7 +220,7 @@
 
 } // namespace
 
-TEST_CASE("knowledge is as old as the report that it answers, and older by its sender's age")
+TEST_CASE("knowledge is as old as the report that it answers plus the age of its sender's knowledge")
 {
     StoreDuty duty(settings, 1);
     const StoreRole role{true, true, std::nullopt, 100};
@@ -239,8 +239,8 @@
     CHECK(duty.knowledgeAge(Millis{10000}) == Millis{0});
 }
 
-// Guards against knowledge of a list that has not come as far as the word on which it rests.
-TEST_CASE("a word that is ahead of the list counts once the list has come as far")
+// Guards against counting knowledge for a list that has not reached the revision of the report.
+TEST_CASE("a report that is ahead of the list counts once the list has reached its revision")
 {
     StoreDuty duty(settings, 1);
     const StoreRole role{true, true, std::nullopt, 100};
@@ -261,7 +261,7 @@
     CHECK(duty.knowledgeAge(Millis{10000}) == Millis{10});
 }
 
-TEST_CASE("a gateway of a small fleet reads by itself, and a lone one at once")
+TEST_CASE("a gateway of a small fleet reads the store itself, and a gateway without peers does so at once")
 {
     StoreDuty duty(settings, 1);
     duty.recordFirstFullRead(Millis{1000});
@@ -271,10 +271,10 @@
     CHECK(duty.maxProofAge({true, false, std::nullopt, 7}, Millis{2500}) == settings.proofInterval);
 }
 
-// Symptom: 295 gateways that start together called the store 2,600 times, and nine hubs twice a second each after that.
-// Events: each reads, proves and watches by itself until it has found a hub; then every hub watches the same.
-// Cause: a gateway's own first reading did not count, and hubs did not count on each other.
-TEST_CASE("a fleet that starts together reads once each, and then one reads for all")
+// Guards against too many calls to the store. 295 gateways that started together called it 2,600 times, and after that
+// nine hubs called it twice a second each. Each gateway read, proved and watched by itself until it had found a hub,
+// since its own first read did not count, and hubs did not use each other's reads.
+TEST_CASE("each gateway of a fleet that starts together reads once, then one gateway reads for all")
 {
     for (const std::size_t size : {11UL, 18UL, 66UL, 295UL}) {
         CAPTURE(size);
@@ -289,9 +289,9 @@
     }
 }
 
-// Symptom: a target that had left got requests from many gateways. Events: the first hub dies, is cut off or turned
-// away by the store, and a target leaves in that moment. Cause: nobody else read the store.
-TEST_CASE("where the first hub no longer reads, another one does within the bound, and not all")
+// Guards against a fleet without a reader. The first hub dies, is cut off or is refused by the store just when a target
+// leaves. When no other gateway read the store, many gateways sent requests to that target.
+TEST_CASE("when the first hub no longer reads, another gateway does within the bound, but not all")
 {
     for (const std::size_t size : {18UL, 295UL}) {
         CAPTURE(size);
@@ -321,10 +321,10 @@
     }
 }
 
-// Symptom: while 88 gateways of 295 were cut off, the others called the store 3,000 times in eight seconds.
-// Events: a third of them loses its hub; finding another takes longer than a gateway waits before it reads everything.
-// Cause: the next hub was asked only once the old one had failed, and a rest ended with a reading of everything.
-TEST_CASE("gateways that lose their hub find another one before they read by themselves")
+// Guards against calls by all gateways that lose their hub. When 88 of 295 gateways were cut off, a third of the others
+// lost its hub, and the others called the store 3,000 times in eight seconds. The next hub was asked only after the old
+// one had failed, which took longer than a gateway waits before it reads everything itself.
+TEST_CASE("gateways that lose their hub find another one before they read the store themselves")
 {
     Fleet fleet(295);
     fleet.run(Millis{6000});
@@ -336,9 +336,9 @@
     CHECK(fleet.oldestKnowledge() < settings.leaveBound * 3 / 4);
 }
 
-// Symptom: in an outage of 4.5 s a fleet of 295 made 2,000 calls. Cause: each tried by itself as soon as hubs knew
-// nothing, though these tried all the while.
-TEST_CASE("while the store is away for all, the fleet tries some ten times a second")
+// Guards against too many retries in an outage. In an outage of 4.5 s a fleet of 295 made 2,000 calls, because each
+// gateway tried by itself once hubs had no recent knowledge, although the hubs kept trying.
+TEST_CASE("while the store is unavailable to all, the fleet tries about ten times a second")
 {
     Fleet fleet(295);
     fleet.run(Millis{6000});
@@ -351,7 +351,7 @@
     CHECK(fleet.oldestKnowledge() < Millis{2000});
 }
 
-TEST_CASE("where the store turns away all hubs, what the others read reaches everybody")
+TEST_CASE("when the store refuses all hubs, what other gateways read reaches all gateways")
 {
     Fleet fleet(66);
     fleet.run(Millis{6000});
--- a/sequoiausher/coordination/gateway/targetboard.cpp
+++ b/sequoiausher/coordination/gateway/targetboard.cpp
@@ -15,33 +15,39 @@
 
 namespace {
 
-/** A peer's loads count until so long after its report: some reports may be lost, and a dead peer holds nothing. */
+/**
+ * How long a peer's loads count after its report: some reports may be lost, and a dead peer has no requests in flight.
+ */
 constexpr Millis peerLoadTtl{1500};
-/** After a target said that it is full it is passed over for so long: about the time in which it ends some requests. */
+/** How long a target that reported itself full is skipped: about the time in which it finishes some requests. */
 constexpr Millis fullTargetBackoff{150};
-/** A gateway sends so many requests to one target between two reports by chance. */
+/** The number of requests that a gateway sends to one target between two reports by chance. */
 constexpr std::uint32_t chanceRequestsPerReport = 1;
 /**
- * So many requests above the bound in percent are let through. At a mean of two or three requests a target, chance
- * alone brings twice the mean, and each request that a bound turns away is read anew by a target that has nothing of it
- * cached.
+ * How many requests are let through above the bound that is given in percent. At a mean of two or three requests per
+ * target, chance alone brings twice the mean, and each request that a bound turns away is read again by a target that
+ * has none of its prompt cached.
  */
 constexpr std::uint64_t boundSlackRequests = 1;
-/** How old what peers said is on the average when it is used: a report, a hub's, and half of the time to the next. */
+/** The mean age of peers' loads when they are used: one report, one relay by a hub, and half of the report interval. */
 constexpr double reportAgeMs = 450;
-/** What one more answer weighs in the usual time of a target's answers: some ten are remembered. */
+/** The weight of one answer in the moving average of a target's answer times, which covers about ten answers. */
 constexpr double answerTimeWeight = 0.1;
-/** Expectations are no better than to about a request. */
+/** Expected loads are accurate to about one request, so smaller differences count as equal. */
 constexpr double equalLoadTolerance = 0.7;
-/** What one more round weighs in what a target usually holds: some five rounds are remembered. */
+/** The weight of one round in the moving average of a target's load, which covers about five rounds. */
 constexpr double averageLoadWeight = 0.2;
-/** How much of the load by which a target is judged is its usual one. */
+/** The share of the moving average in the smoothed load of a target. */
 constexpr double averageLoadFraction = 0.7;
-/** Chance and failures give a part a second target. */
+/** A part with fewer holders need not be hot: chance and failures also give a part a second target. */
 constexpr std::size_t minHoldersOfHotPart = 3;
-/** Independent requests deviate from their mean by its square root; one count in fifty is twice that above it. */
+/**
+ * Independent requests deviate from their mean by its square root; one count in fifty is two such deviations above it.
+ */
 constexpr double chanceLoadDeviations = 2;
-/** A target that says that it leaves is gone long before; its entry may come back until then with an older store. */
+/**
+ * How long an announcement is kept. A leaving target is gone long before, but a restored older store may list it again.
+ */
 constexpr Millis announcementTtl{600000};
 constexpr Millis maxTargetBackoff{3600000};
 
@@ -50,25 +56,27 @@
     GatewayTarget target;
     std::uint64_t hash = 0;
     std::uint32_t ownInFlight = 0;
-    /** What the peers said, added up. */
+    /** The sum of the peers' reported requests. */
     std::uint32_t peersInFlight = 0;
-    /** Sent there by this gateway since its peers last heard of its loads, and so it of theirs. */
+    /** Requests sent by this gateway since the last round of reports, in which gateways got each other's loads. */
     std::uint32_t sentSinceReport = 0;
-    /** The number of the request that was last sent there; 0 for none. */
+    /** The sequence number of the last request sent to the target; 0 for none. */
     std::uint64_t sentOrder = 0;
-    /** How long its answers take; 0 before the first. */
+    /** The moving average of the answer time; 0 before the first answer. */
     double answerMs = 0;
-    /** What it held in the last rounds, on the average; absent before the first. */
+    /** The moving average of the load in the last rounds; absent before the first round. */
     std::optional<double> averageLoad;
     TargetHealthScore health;
     Millis fullUntil;
-    /** It wants no request until then. */
+    /** No request is sent to the target before this time. */
     Millis backoffUntil;
     Millis lastActivityAt;
     bool isListed = true;
 };
 
-/** How many of the holders may be chosen. Those that failed lately or left say nothing of a part's use. */
+/**
+ * The number of holders that may be chosen. Holders that failed lately or left do not indicate how much a part is used.
+ */
 std::size_t usableAmong(const std::vector<TargetId> &holders, const PoolLoad &load)
 {
     return static_cast<std::size_t>(
@@ -77,7 +85,7 @@
         }));
 }
 
-/** What a target said of itself in its answers. */
+/** What a target announced about itself in its answers. */
 struct TargetAnnouncement
 {
     bool hasAnnouncedLeaving = false;
@@ -101,7 +109,7 @@
         return target.ownInFlight + target.peersInFlight;
     }
 
-    /** Takes what the peer said out of the sums. */
+    /** Subtracts the peer's reported loads from the sums. */
     void forget(const PeerLoads &loads)
     {
         for (const auto &[id, inFlight] : loads.inFlight) {
@@ -123,9 +131,10 @@
     }
 
     /**
-     * What the peers have most likely sent to the target since their reports. They choose as this gateway does: where
-     * it has sent several requests for one part in a moment, so have they. Without this a part that suddenly gets much
-     * of the traffic overloads its target for as long as reports take, by as many times as there are gateways.
+     * Estimates how many requests the peers have sent to the target since their reports. They choose as this gateway
+     * does: if this gateway sent several requests for one part within a moment, the peers did too. Without this
+     * estimate, a part that suddenly gets much of the traffic overloads its target until the next reports, by a factor
+     * of the number of gateways.
      */
     std::uint32_t estimateUnreportedRequests(const TargetState &target) const
     {
@@ -136,16 +145,16 @@
     }
 
     /**
-     * What is in flight by late reports, evened out. They are as old as requests last, so a count above the usual one
-     * says mostly what was there by chance and has left since. Taken as it is, all gateways move away from a target
-     * together, and back together: each move takes parts of prompts to where they must be read again, and heaps up
-     * requests there before anybody hears of it.
+     * Smooths the requests in flight at the target. Reports are as old as requests last, so a count above the average
+     * mostly shows requests that were there by chance and have ended since. With unsmoothed counts, all gateways move
+     * away from a target together and return together. Each move sends parts of prompts to targets that must read them
+     * again, and requests pile up there before any gateway learns of it.
      */
     static std::uint32_t smoothedInFlight(const TargetState &target)
     {
         const double current = inFlight(target);
         const double average = target.averageLoad.value_or(current);
-        // More than chance brings: a part has come into heavy use, and waiting would overload its target.
+        // The deviation is larger than chance explains: a part has become hot, and waiting would overload its target.
         if (current - average > chanceLoadDeviations * std::sqrt(std::max(average, 1.0))) {
             return inFlight(target);
         }
@@ -153,11 +162,11 @@
     }
 
     /**
-     * What is in flight now, where peers' loads are older than the requests that they counted: of those as good as none
-     * is left, and as many others were sent since, to any target. What a target had above the mean falls away with its
-     * answers. Without this all gateways send to the target that was least loaded at the last reports, and the next
-     * reports find it overloaded: with three targets of 30 ms and reports of 300, a queue of 20 there while others
-     * idle.
+     * Estimates the requests in flight now, where peers' loads are older than the duration of the requests they
+     * counted. Almost none of those requests is left, and as many others were sent since, to any target. So a target's
+     * excess over the mean decays with its answer time. Without this estimate all gateways send to the target with the
+     * lowest load in the last reports, and the next reports show it overloaded: with three targets that answer in 30 ms
+     * and reports every 300 ms, 20 requests queue there while other targets are idle.
      */
     static double expectedInFlight(const TargetState &target, double meanPeersInFlight)
     {
@@ -167,8 +176,9 @@
     }
 
     /**
-     * The usable target where the fewest are expected; among those that are as good as equal the one that this gateway
-     * has sent nothing to for longest. Were the last hundredth to decide, all gateways would decide alike.
+     * Chooses the usable target with the fewest expected requests. Among targets that count as equal, chooses the one
+     * to which this gateway has sent nothing for the longest time. If differences of a hundredth decided, all gateways
+     * would choose the same target.
      */
     static std::optional<std::size_t> chooseLeastExpected(const std::vector<TargetState *> &candidates,
                                                           const PoolLoad &load)
@@ -200,7 +210,7 @@
         return candidates.empty() ? 0 : total / static_cast<double>(candidates.size());
     }
 
-    /** The targets that may be chosen, by service. */
+    /** Rebuilds the lists of eligible targets by service. */
     void groupByService()
     {
         this->byService.clear();
@@ -235,15 +245,15 @@
 
     std::uint64_t seed = 0;
     std::map<TargetId, TargetState> targets;
-    /** The targets of each service, listed and not leaving. */
+    /** The eligible targets of each service: listed, and not leaving. */
     std::map<PoolId, std::vector<TargetState *>> byService;
-    /** The present life of each listed target, by its name. */
+    /** The current incarnation of each listed target, by the target's listed name. */
     std::unordered_map<TargetId, TargetId> currentIncarnations;
-    /** They outlive the list's entries, which may come back. */
+    /** Kept longer than the list's entries, because an entry may come back. */
     std::map<TargetId, TargetAnnouncement> announcements;
     std::map<InstanceId, PeerLoads> peers;
     std::size_t otherGateways = 0;
-    /** Requests sent so far. */
+    /** The number of requests sent so far. */
     std::uint64_t sentCount = 0;
     std::map<PolicyKind, std::unique_ptr<Policy>> policies;
 };
@@ -330,8 +340,8 @@
 {
     this->d->expire(now);
     const std::vector<TargetState *> &candidates = this->d->byService[criteria.service];
-    // Only a policy that fills what room there is step by step is served by evened loads: one that moves all of a
-    // part's requests at the bound would do so later, and for longer.
+    // Smoothed loads help only a policy that fills the free room gradually. A policy that moves all requests of a part
+    // once the bound is reached would move them later and for longer.
     const bool spreadsByRoom = criteria.policy == PolicyKind::RoomRendezvous;
     PoolLoad load;
     load.targets.reserve(candidates.size());
@@ -352,7 +362,7 @@
             + this->d->estimateUnreportedRequests(*state);
         load.targets.push_back({id, state->hash, likely, inFlight, !excluded && !isSkipped && !isBackingOff});
     }
-    // Where most targets fail, the fault is not theirs alone, and keeping away would press the rest: use all of them.
+    // If most targets fail, the cause is not in the targets alone, and skipping them would overload the rest: use all.
     const bool useSkipped = skipped * 2 > candidates.size() - backingOff;
     std::size_t usable = 0;
     for (std::size_t i = 0; i < candidates.size(); ++i) {
@@ -364,12 +374,13 @@
     }
     load.lowestBound = loadBound(criteria.boundPercent, load.total, load.counted) + boundSlackRequests;
     const std::optional<std::size_t> holder = chooseHolder(criteria.holders, load, criteria.requestHash);
-    // A part that several hold and none takes is in heavy use: by its hash all gateways would fill one more target.
+    // A part with several holders of which none accepts the request is hot. If the part's hash decided, all gateways
+    // would fill the same additional target.
     const bool isHotPart = !holder && spreadsByRoom && usableAmong(criteria.holders, load) >= minHoldersOfHotPart;
     const std::uint64_t place = isHotPart ? criteria.requestHash : criteria.partHash;
     const Choice choice{place, criteria.boundPercent, holder, false, criteria.firstPartHash};
-    // A part that nobody holds yet is read by the first one who gets it, and gateways hear of that late: until then
-    // they agree on a target only if they go by the hash alone.
+    // A part without holders is read by the first target that gets it, and gateways learn of that late. Until then they
+    // agree on a target only if the hash alone decides.
     const bool isUnread = spreadsByRoom && criteria.holders.empty();
     const PolicyKind policy = isUnread ? PolicyKind::BoundedRendezvous : criteria.policy;
     std::optional<std::size_t> index = policy == PolicyKind::LeastExpected
--- a/sequoiausher/coordination/gateway/targetboard.h
+++ b/sequoiausher/coordination/gateway/targetboard.h
@@ -1,13 +1,14 @@
 #pragma once
 
-// The targets of all services with what this gateway knows of their load and health, and the choice among them. Load is
-// what this gateway has in flight, exactly, and what its peers last said they have.
+// The targets of all services with their load and health as this gateway sees them, and the choice among them. A
+// target's load is the exact number of requests that this gateway has in flight there, plus the numbers that its peers
+// reported last.
 //
 //     TargetBoard board(seed);
 //     board.setTargets(list.targets(), now);
 //     const auto chosen = board.choose(criteria, now);
-//     board.started(chosen->target.id);
-//     board.ended(chosen->target.id, TargetOutcome::Answered, now);
+//     board.recordStart(chosen->target.id);
+//     board.recordEnd(chosen->target.id, TargetOutcome::Answered, now);
 
 #include "sequoiausher/coordination/gateway/gatewayconfiguration.h"
 #include "sequoiausher/coordination/gateway/targethealthscore.h"
@@ -20,109 +21,111 @@
 
 namespace Sequoiausher {
 
-/** How a request to a target ended, as far as it tells of the target. */
+/** How a request to a target ended, as far as that indicates the target's health. */
 enum class TargetOutcome {
-    /** Answered well. */
+    /** The target answered without an error of its own. */
     Answered,
-    /** Answered with a failure of its own. */
+    /** The target answered with an error of its own. */
     Failed,
-    /** No answer, or one that was cut or spoilt. */
+    /** No answer, or an answer that was cut off or corrupted. */
     Lost,
-    /** Full: it did not run the request. */
+    /** The target was full and did not run the request. */
     Full,
-    /** Nothing that tells of the target, such as a caller that left. */
+    /** Nothing that indicates the target's health, such as a caller that disconnected. */
     Neutral,
 };
 
-/** What a request needs of its target. */
+/** The requirements of a request for its target. */
 struct TargetCriteria
 {
     PoolId service;
     PolicyKind policy = PolicyKind::BoundedRendezvous;
     std::uint32_t boundPercent = 150;
-    /** Stands for the part of the prompt that the request most likely finds cached; any hash where it has none. */
+    /** Hash of the part of the prompt that is most likely cached; any hash where the request has no such part. */
     std::uint64_t partHash = 0;
-    /** Stands for the first part of the prompt; 0 where it has none. */
+    /** Hash of the first part of the prompt; 0 where the request has no prompt. */
     std::uint64_t firstPartHash = 0;
-    /** Targets that have read that part, the preferred one first. */
+    /** Targets that have read the part of partHash, the preferred one first. */
     std::vector<TargetId> holders;
     /** Differs from request to request. */
     std::uint64_t requestHash = 0;
-    /** Where the request was sent before. */
+    /** Targets to which the request was sent before. */
     std::vector<TargetId> excluded;
 };
 
-/** The choice with the figures that decided it. */
+/** A chosen target and the figures that decided the choice. */
 struct ChosenTarget
 {
     GatewayTarget target;
     std::uint32_t inFlight = 0;
-    /** Over all targets of the service. */
+    /** Requests in flight at all targets of the service. */
     std::uint64_t total = 0;
     std::size_t usable = 0;
 };
 
-/** Loads and health. Not thread-safe. */
+/** Loads and health of all targets. Not thread-safe. */
 class TargetBoard
 {
 public:
     explicit TargetBoard(std::uint64_t seed);
     ~TargetBoard();
 
-    /** Replaces the list; the loads of targets that stay are kept. */
+    /** Replaces the list of targets; the loads of targets that stay are kept. */
     void setTargets(const std::vector<GatewayTarget> &targets, Millis now);
-    /** What a peer has in flight; replaces what it said before. */
+    /** Replaces the loads that the peer reported before. */
     void updatePeerLoads(const InstanceId &peer, const std::vector<GatewayLoad> &loads, Millis now);
 
-    /** Forgets what all other peers said: peer speaks for them from now on. */
+    /** Removes the loads reported by all other peers, because the reports of this peer now include them. */
     void forgetOtherPeers(const InstanceId &peer);
 
-    /** How many gateways choose targets beside this one. */
+    /** Sets how many other gateways choose among the same targets. */
     void setOtherGateways(std::size_t count);
 
-    /** A target for the request; none where the service has none that may be used. */
+    /** Chooses a target for the request; none where the service has no usable target. */
     std::optional<ChosenTarget> choose(const TargetCriteria &criteria, Millis now);
 
-    /** Of the targets that hold a part, a sound one with the fewest requests, to copy the part from. */
+    /** Finds the sound target with the fewest requests in flight among the holders of a part, to copy the part from. */
     std::optional<GatewayTarget> findCopySource(const std::vector<TargetId> &holders, Millis now);
 
-    /** A request goes to the target. */
+    /** Records that a request is sent to the target. */
     void recordStart(const TargetId &target);
-    /** The target sent something, to whichever request. */
+    /** Records that the target sent data for any request. */
     void recordActivity(const TargetId &target, Millis now);
-    /** When it last did; 0 for never. */
+    /** When the target last sent data; 0 for never. */
     Millis lastActivity(const TargetId &target) const;
     /**
-     * The target itself says that it leaves. That holds for this life of it whatever the store says: the store may be
-     * away, or behind. @return whether that is new.
+     * Records that the target announced that it leaves. The announcement holds for this incarnation whatever the store
+     * lists, because the store may be unavailable or out of date. @return whether the announcement is new.
      */
     bool markLeaving(const TargetId &target, Millis now);
     /**
-     * The target turned a request away and wants none until then: it gets none, however few others there are. Of
-     * several such words the longest holds, up to an hour.
+     * Records that the target rejected a request and asked for none before the given time. Until then the target gets
+     * none, however few other targets there are. The longest of several announced times holds, up to an hour from now.
      */
     void setBackoff(const TargetId &target, Millis until, Millis now);
-    /** Where all targets of the service that may be chosen want no request: how long until the first does. */
+    /** If all eligible targets of the service asked for a backoff: the time until the first of these ends. */
     std::optional<Millis> remainingBackoff(const PoolId &service, Millis now) const;
-    /** A request that the target answered took so long there. */
+    /** Adds the time that an answer of the target took to the moving average. */
     void recordAnswerTime(const TargetId &target, Millis elapsed);
-    /** It is over there. */
+    /** Records that a request ended at the target. */
     void recordEnd(const TargetId &target, TargetOutcome outcome, Millis now);
 
-    /** A round of reports goes out: counts begin anew of what peers have not heard. */
+    /** Starts a round of reports: resets the counts of requests that were sent since the last round. */
     void beginRound();
-    /** What this gateway has in flight. */
+    /** The requests that this gateway has in flight. */
     std::vector<GatewayLoad> ownLoads(Millis now) const;
-    /** The same with what all peers but some have. */
+    /** The requests in flight of this gateway and of all peers but those given. */
     std::vector<GatewayLoad> loads(const std::vector<InstanceId> &without, Millis now);
-    /** The platform lists another life under the target's name: what this one was sent is lost. */
+    /**
+     * Whether the platform lists another incarnation under the target's name, so requests sent to this one are lost.
+     */
     bool isReplaced(const GatewayTarget &target) const;
-    /** The list has it, in this life; it may be leaving. */
+    /** Whether this incarnation is listed; it may be leaving. */
     bool isListed(const TargetId &target) const;
-    /** The same, and neither the store nor the target says that it leaves. */
+    /** Whether this incarnation is listed, and neither the store nor the target itself has announced that it leaves. */
     bool isEligible(const TargetId &target) const;
     std::size_t targetCount(const PoolId &service) const;
-    /** Requests in flight at the service's targets, and the places that these have. */
+    /** Requests in flight at the eligible targets of the service, and the total of the slots of these targets. */
     std::uint64_t inFlight(const PoolId &service, Millis now) const;
     std::uint64_t totalSlots(const PoolId &service) const;
 
--- a/sequoiausher/coordination/gateway/targetboardtest.cpp
+++ b/sequoiausher/coordination/gateway/targetboardtest.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-TEST_CASE("requests that share a part go to one target, on every gateway")
+TEST_CASE("requests that share a part go to the same target from each gateway")
 {
     TargetBoard first(1);
     TargetBoard second(2);
@@ -50,10 +50,10 @@
     }
 }
 
-// Symptom: one engine held three times what the others held, and its streams paused.
-// Events: a third of all requests ask for one part, from seven gateways that each see a seventh of them and hear of
-// each other three times a second. Cause: each gateway went by its own count alone.
-TEST_CASE("a part in heavy use spreads before its target holds twice the mean")
+// Guards against a hot part overloading its target. A third of all requests have one part, and come from seven gateways
+// that each see a seventh of them and report to each other three times a second. When each gateway used only its own
+// count, one engine held three times what the others held, and its streams paused.
+TEST_CASE("a hot part spreads before its target holds twice the mean")
 {
     constexpr std::size_t gatewayCount = 7;
     constexpr int stepMs = 8;
@@ -84,7 +84,7 @@
         gateways[by]->recordStart(chosen->target.id);
         inFlight[chosen->target.id] += 1;
         running.emplace_back(by, chosen->target.id);
-        // What reaches a target that holds over twice the mean and three more, in any five seconds.
+        // Counts the requests of the last five seconds to targets that hold over twice the mean and three more.
         window.push_back(static_cast<std::size_t>(inFlight[chosen->target.id]) * 12 > 2 * running.size() + 3 * 12);
         if (window.size() > 5000 / stepMs) {
             window.pop_front();
@@ -104,7 +104,7 @@
     }
 }
 
-TEST_CASE("leaving, full, failing and excluded targets are passed over")
+TEST_CASE("leaving, full, failing and excluded targets are skipped")
 {
     TargetBoard board(1);
     std::vector<GatewayTarget> targets = twelveTargets();
@@ -140,7 +140,7 @@
     CHECK(board.isListed(first));
 }
 
-TEST_CASE("a hub reports sums, to each without what it said itself")
+TEST_CASE("a hub reports sums to each peer without that peer's own loads")
 {
     TargetBoard board(1);
     board.setTargets(twelveTargets(), Millis{0});
@@ -156,7 +156,7 @@
     CHECK(board.inFlight(engines, Millis{0}) == 8);
 }
 
-TEST_CASE("what a dead peer held is forgotten")
+TEST_CASE("the loads of a dead peer expire")
 {
     TargetBoard board(1);
     board.setTargets(twelveTargets(), Millis{0});
@@ -178,10 +178,10 @@
 
 } // namespace
 
-// Symptom: a target that had just started was passed over for seconds, or taken for one that holds what it never read.
-// Events: it crashes with requests in flight, starts again under its name, and others' reports of before still arrive.
-// Cause: loads, failures and placements were kept by the name.
-TEST_CASE("nothing that is known of a life goes over to the next one")
+// Guards against state kept by name. A target crashes with requests in flight and restarts under its name, and peers'
+// reports about the old incarnation still arrive. The new one was skipped for seconds, or taken for a holder of parts
+// that it never read, because loads, failures and placements were kept by the name.
+TEST_CASE("no state of an incarnation is carried over to the next one")
 {
     TargetBoard board(1);
     board.setTargets(incarnationStartedAt(100), Millis{0});
@@ -202,14 +202,14 @@
     CHECK_FALSE(board.isListed(before.id));
     CHECK(board.isListed(after.id));
     CHECK_FALSE(board.isListed(TargetId{"never"}));
-    // A report that was written before its sender heard of the new life, and one that comes out of order.
+    // A report that was written before its sender learnt of the new incarnation, and one that arrives out of order.
     board.updatePeerLoads(InstanceId{"q"}, {{before.id, 5, true}}, Millis{20});
     const auto chosen = board.choose(criteriaFor(1), Millis{20});
     REQUIRE(chosen);
     CHECK(chosen->target == after);
     CHECK(chosen->inFlight == 0);
     CHECK(chosen->total == 0);
-    // A part that the old life had read is held by nobody, and copied from nobody.
+    // A part that the old incarnation had read has no holder and no copy source.
     TargetCriteria criteria = criteriaFor(1);
     criteria.holders = {before.id};
     CHECK(board.choose(criteria, Millis{20})->target == after);
@@ -218,8 +218,8 @@
     CHECK(board.ownLoads(Millis{30}).empty());
 }
 
-// Guards against a list that lags behind, or was away, undoing what a target says of itself.
-TEST_CASE("a target that says that it leaves is not chosen again in that life, however it is listed")
+// Guards against a list that lags behind, or was unavailable, overriding what a target announced about itself.
+TEST_CASE("a target that announced that it leaves is not chosen again in that incarnation, however it is listed")
 {
     TargetBoard board(1);
     std::vector<GatewayTarget> targets = twelveTargets();
@@ -252,8 +252,8 @@
     CHECK(isChosen(targets[0].id, Millis{6010}));
 }
 
-// Guards against asking targets that rest because most of the others fail, or because the list was read again.
-TEST_CASE("a target that asked for rest is not chosen before its end, whatever becomes of the others and the list")
+// Guards against using targets in backoff because most of the others fail, or because the list was read again.
+TEST_CASE("a target in backoff is not chosen before its end, whatever happens to other targets or the list")
 {
     TargetBoard board(1);
     std::vector<GatewayTarget> targets = twelveTargets();
--- a/sequoiausher/coordination/gateway/targethealthscore.cpp
+++ b/sequoiausher/coordination/gateway/targethealthscore.cpp
@@ -6,16 +6,19 @@
 
 namespace {
 
-/** What one more outcome weighs in the share: some ten outcomes are remembered. */
+/** The weight of one outcome in the moving average, which covers about ten outcomes. */
 constexpr double outcomeWeight = 0.15;
-/** Plain services fail one request in seven when nothing is wrong; a share above this is something else. */
+/** Plain services fail one request in seven when nothing is wrong; a failure rate above this one has another cause. */
 constexpr double ejectionFailureRate = 0.55;
-/** Two requests without an answer, one after the other, are no chance: in calm times fewer than 1 in 1000 has none. */
+/** Two consecutive requests without an answer are no coincidence: normally fewer than 1 in 1000 requests gets none. */
 constexpr std::uint32_t ejectionFailureCount = 2;
-/** The first pause lets a restart pass; pauses double up to the longest, after which a recovered target is missed. */
+/**
+ * The first ejection is long enough for a restart. Each further ejection lasts twice as long, up to a maximum after
+ * which a recovered target's capacity is missed.
+ */
 constexpr Millis firstEjectionTime{400};
 constexpr std::uint32_t maxEjectionDoublings = 3;
-/** A peer's word holds until its next report or the one after. */
+/** How long a peer's suspicion counts: until the peer's next report or the one after. */
 constexpr Millis peerSuspicionTtl{500};
 
 } // namespace
@@ -41,7 +44,7 @@
 
 void TargetHealthScore::recordPeerSuspicion(Millis now)
 {
-    // One's own good answers go before a peer's word: the fault may lie between the peer and the target.
+    // This gateway's own good answers override the peer's suspicion: the fault may lie between the peer and the target.
     if (this->consecutiveFailures > 0 || this->failureRate > ejectionFailureRate / 2) {
         this->ejectedUntil = std::max(this->ejectedUntil, now + peerSuspicionTtl);
     }
--- a/sequoiausher/coordination/gateway/targethealthscore.h
+++ b/sequoiausher/coordination/gateway/targethealthscore.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// Whether one target fails too often to be sent more, by what became of the requests sent there. Nothing is probed: a
-// target that is kept away from is tried again by one request after a growing pause.
+// Whether one target fails too often to get more requests, judged by the outcomes of the requests sent to it. There are
+// no health checks: an ejected target is tried again by one request after an ejection time that grows.
 //
 //     TargetHealthScore health;
-//     health.failed(now, FailureWeight::Heavy);
+//     health.recordFailure(now, FailureWeight::Heavy);
 //     if (health.isEjected(now)) { ... }
 
 #include "sequoiausher/base/millis.h"
@@ -13,11 +13,11 @@
 
 namespace Sequoiausher {
 
-/** How much a failure says of the target. */
+/** How strongly a failure indicates that the target is unhealthy. */
 enum class FailureWeight {
-    /** An answer that says it failed: plain services give some at all times. */
+    /** An answer with an error status: plain services give some at all times. */
     Light,
-    /** No answer, or one that was cut or spoilt. */
+    /** No answer, or an answer that was cut off or corrupted. */
     Heavy,
 };
 
@@ -27,10 +27,10 @@
 public:
     void recordSuccess(Millis now);
     void recordFailure(Millis now, FailureWeight weight);
-    /** A peer keeps away from the target. */
+    /** Records that a peer has ejected the target. */
     void recordPeerSuspicion(Millis now);
 
-    /** Whether requests should go elsewhere. */
+    /** Whether requests should go to other targets. */
     bool isEjected(Millis now) const;
 
 private:
--- a/sequoiausher/coordination/gateway/targethealthscoretest.cpp
+++ b/sequoiausher/coordination/gateway/targethealthscoretest.cpp
@@ -4,7 +4,7 @@
 
 using namespace Sequoiausher;
 
-TEST_CASE("two requests without an answer keep others away, for longer each time")
+TEST_CASE("two requests without an answer eject the target, for a longer time each time")
 {
     TargetHealthScore health;
     health.recordFailure(Millis{0}, FailureWeight::Heavy);
@@ -20,7 +20,7 @@
     CHECK_FALSE(health.isEjected(Millis{1300}));
 }
 
-TEST_CASE("failures that a service always has keep nobody away")
+TEST_CASE("the usual failure rate of a service ejects no target")
 {
     TargetHealthScore health;
     for (int i = 0; i < 1000; ++i) {
--- a/sequoiausher/coordination/gateway/targetlist.cpp
+++ b/sequoiausher/coordination/gateway/targetlist.cpp
@@ -9,10 +9,13 @@
 
 namespace {
 
-/** Targets that are gone are remembered for peers that still have them; beyond so many those get the whole list. */
+/**
+ * How many removed targets are remembered for peers that still list them. Peers that lack older removals get the whole
+ * list.
+ */
 constexpr std::size_t maxGoneTargets = 4096;
 
-/** The last life of a target of which no word told. */
+/** Stands for the start time of a removed target that this list never contained. */
 constexpr Millis unknownStartTime = Millis::never();
 
 bool isOfEarlierIncarnation(const GatewayTarget &target, const GatewayTarget &current)
@@ -20,7 +23,7 @@
     return target.bornAt != Millis{0} && target.bornAt < current.bornAt;
 }
 
-/** The target as written, in the known life where it tells none. */
+/** Returns the target as written, with the current incarnation where the entry has none. */
 GatewayTarget withKnownIncarnation(const GatewayTarget &target, const GatewayTarget &current)
 {
     GatewayTarget result = target;
@@ -108,16 +111,17 @@
 
 void TargetList::setCompleteUpTo(Revision at)
 {
-    // A target that came and went in between was never seen here: whoever has it must get the whole list.
+    // A target that was listed only between the two revisions was never seen here, so a peer that has it needs the
+    // whole list.
     if (at > this->completeRevision) {
         this->goneCompleteSince = at;
     }
     this->completeRevision = std::max(this->completeRevision, at);
 }
 
-// What goes wrong where an answer from before a peer's word is believed: an entry that went comes back, or a new one
-// goes, under the revision of the later word, and no peer tells of it again. It shows as one gateway that sends to a
-// target that has left long since.
+// If an answer from before a peer's report were applied, a removed entry would come back or a new one would be removed
+// under the revision of the later report, and no peer would report the change again. The visible fault is one gateway
+// that sends to a target which left long ago.
 bool TargetList::isOutdated(Revision at) const
 {
     return at < this->completeRevision;
@@ -139,12 +143,12 @@
         return;
     }
     const auto entry = this->entries.find(name);
-    // All changes of one answer come with its revision.
+    // All changes of one answer of the store have the same revision.
     this->noteReturn(at);
     if (entry != this->entries.end()) {
         this->removeOrKeep(entry, at, now);
     } else {
-        // It came and went between two answers; a copy of the store may still list it.
+        // The target was written and removed between two answers; a copy of the store may still list it.
         this->noteGone(name, at, unknownStartTime);
     }
     this->completeRevision = at;
@@ -164,7 +168,7 @@
 
 void TargetList::removeOrKeep(std::map<TargetId, Entry>::iterator entry, Revision at, Millis now)
 {
-    // One that said it would leave has left, whatever the store went through.
+    // A target that announced that it leaves is gone, whatever happened to the store.
     if (entry->second.target.isLeaving || this->isGraceOver(now)) {
         this->erase(entry, at);
     } else if (!entry->second.missingSince) {
--- a/sequoiausher/coordination/gateway/targetlist.h
+++ b/sequoiausher/coordination/gateway/targetlist.h
@@ -1,24 +1,26 @@
 #pragma once
 
 // The targets that the platform's store lists, as one gateway has them, kept up to date by a first list and events.
-// Entries lapse while the store is away, since targets cannot renew them, and come back about two seconds after its
-// return; a gateway that believed the gap would send all traffic to the few that were quick. So what is missing during
-// an outage or shortly after stays usable, and what is still missing then is gone. What the store removes once it is
-// back leaves within the bound all the same, and where a peer reached the store all the while there was no outage.
+// Entries expire during an outage of the store, since targets cannot renew them, and are written again within about two
+// seconds after the store's return. A gateway that took the incomplete list at face value would send all traffic to the
+// few targets that were written first. So an entry that is missing during an outage or shortly after stays usable, and
+// is removed if it is still missing then. An entry that the store removes after its return is still removed within the
+// leave bound. If a peer reached the store during the whole time, there was no outage.
 //
 //     TargetList list;
 //     list.replaceAll(targets, revision, now);
 //     list.storeLost(now);
-//     list.removed(TargetId{"i-1"}, revision, now);       // stays: the store was away
+//     list.remove(TargetId{"i-1"}, revision, now);        // kept: the store was unavailable
 //     list.storeReturned(now);
-//     list.tick(now + Millis{3000});                      // gone now
+//     list.tick(now + Millis{3000});                      // removed now
 //
-// Revisions are positions of the store (storeposition.h). After a return from a copy the store lists targets as they
-// were when the copy was made: who has left since, or said so, stays out until it is written again.
+// Revisions are positions of the store (storeposition.h). After the store was restored from a copy, it lists targets as
+// they were when the copy was made. A target that has left or announced that it leaves since then stays removed or
+// leaving until its entry is written again.
 //
-// Gateways that do not read the store learn it from one that does, by changes since the revision that they have:
+// A gateway that does not read the store gets changes since its own revision from a gateway that does:
 //
-//     if (const auto changes = list.changesSince(revisionOfPeer)) { send(*changes); }
+//     if (const auto changes = list.findChangesSince(revisionOfPeer)) { send(*changes); }
 //     otherList.apply(changes);
 
 #include "sequoiausher/coordination/gateway/gatewayconfiguration.h"
@@ -30,107 +32,120 @@
 namespace Sequoiausher {
 
 /**
- * Entries lapse after three heartbeats of several hundred milliseconds at least, so an absence of the store that was
- * shorter than this one took none with it. A call that fails once delays no news of a target that left.
+ * Entries expire after three heartbeats, each of several hundred milliseconds at least, so none expires in a shorter
+ * outage of the store than this. A single failed call therefore delays no removal of a target.
  */
 inline constexpr Millis minStoreOutage{2000};
-/** How long after the store's return an entry that lapsed may take to come back: two seconds, and a call's delay. */
+/** How long after the store's return an expired entry may take to be written again: two seconds and a call's delay. */
 inline constexpr Millis expiredEntryGrace{2300};
-/** The part of the bound for leaving targets for which an entry that the store removes after its return is kept. */
+/** An entry that the store removes after its return is kept for the leave bound divided by this. */
 inline constexpr std::int64_t lateRemovalBoundDivisor = 2;
 
-/** What becomes of a list between two revisions of the store. */
+/** The changes of a list between two revisions of the store. */
 struct TargetChanges
 {
-    /** For lists that are complete up to here, or later. */
+    /** The changes apply to lists that are complete up to this revision or a later one. */
     Revision from = 0;
     Revision to = 0;
     std::vector<GatewayTarget> written;
-    /** By the names under which the platform listed them. */
+    /** The listed names of the removed targets. */
     std::vector<TargetId> gone;
 
     bool operator==(const TargetChanges &) const = default;
 };
 
-/** The list. Not thread-safe. */
+/** The list of targets. Not thread-safe. */
 class TargetList
 {
 public:
-    /** Everything that the store lists at revision. */
+    /** Replaces the list by all targets that the store lists at the revision. */
     void replaceAll(const std::vector<GatewayTarget> &targets, Revision at, Millis now);
     /**
-     * An entry was written; at is the revision up to which the store's answer tells all. An answer from before what is
-     * known already, here or in the next two, changes nothing: a peer has told of later changes. One of an earlier life
-     * than the known one changes nothing: a target that starts again behind a cut has its old life's last words arrive
-     * after its own first. One that tells no life is of the known one.
+     * Writes an entry; at is the revision up to which the store's answer is complete. Here and in the next two
+     * functions an answer from before the revision of this list changes nothing, because a peer has reported later
+     * changes. An entry of an earlier incarnation than the current one changes nothing: if a target restarts during a
+     * network partition, the last entries of its old incarnation may arrive after the first entry of the new one. An
+     * entry without an incarnation belongs to the current one.
      */
     void put(const GatewayTarget &target, Revision at);
-    /** The entry of that name was removed. */
+    /**
+     * Removes the entry of that name. During and shortly after an outage of the store it is kept as missing for a
+     * while, unless the target announced that it leaves.
+     */
     void remove(const TargetId &name, Revision at, Millis now);
     /**
-     * What lies under that name cannot be read: it names no target. Unlike one that lapsed it is not kept during an
-     * outage, since the store had it written.
+     * Removes the entry of that name, because its stored value cannot be read and names no target. Unlike an expired
+     * entry it is not kept during an outage, because the store contains the unreadable value.
      */
     void removeUnreadable(const TargetId &name, Revision at);
 
-    /** A peer that reaches the store says that this is all, where this gateway does not reach it. */
+    /** Replaces the list by that of a peer which reaches the store while this gateway does not. */
     void replaceFromPeer(const std::vector<GatewayTarget> &targets, Revision at);
 
     /**
-     * What a list that is complete up to from lacks; nothing where that cannot be told, since from is too long ago, or
-     * an entry is only kept since it may come back: a listener that had it and the present revision would keep it. What
-     * did not come back after an outage is gone at the revision that the list had then, so peers that have the
-     * same revision may lack it too.
+     * Finds the changes that a list lacks which is complete up to the given revision. There are none to return if that
+     * revision is too old, or if an entry is only kept because it may come back: a receiver that has this entry and
+     * gets the current revision would keep the entry. An entry that did not come back after an outage is removed at the
+     * revision that the list had then, so peers with the same revision may lack that removal too.
      */
     std::optional<TargetChanges> findChangesSince(Revision from) const;
-    /** Takes over changes, unless they begin after what this list has or end before; whether it did. */
+    /**
+     * Applies the changes, unless they begin after this list's revision or end before it. @return whether they were
+     * applied.
+     */
     bool apply(const TargetChanges &changes);
     /**
-     * Up to which revision a gateway without any list may take this one for complete: an old one, which everybody
-     * else's replaces, where an entry is only kept since it may come back.
+     * The revision up to which a gateway without any list may take this list as complete. While an entry is only kept
+     * because it may come back, this is an old revision, so that the list of any other gateway replaces this one.
      */
     Revision shareableRevision() const;
     /** The revision at which an entry was last written or removed. */
     Revision changedAt() const;
-    /** When tick() last let entries go. */
+    /** When tick() last removed missing entries. */
     Millis lastExpiryAt() const;
 
-    /** Within so long after the store's word no leaving target may get anything. */
+    /** Sets the time after the store's update within which a leaving target must no longer get requests. */
     void setLeaveBound(Millis bound);
     /**
-     * A peer whose list has been settled ever since vouches for it up to at, in a report that answers one of askedAt:
-     * the store was there, only this gateway did not reach it, so no entry has lapsed.
+     * Records a peer's confirmation of the list up to a revision, in a report that answers this gateway's report of
+     * askedAt. The peer's list has been settled during the whole time, so the store was available and only this gateway
+     * did not reach it. Hence no entry has expired.
      */
     void confirmSettledByPeer(Revision at, Millis askedAt);
-    /** Whether the store was never away lately, as far as this gateway knows: nothing is missing that may come back. */
+    /** Whether this gateway knows of no recent outage of the store, so that no missing entry may come back. */
     bool isSettled(Millis now) const;
 
-    /** A call to the store failed. */
+    /** Records that a call to the store failed. */
     void storeLost(Millis now);
-    /** The store has come back from a copy: entries that it lacks may be written again, as after an outage. */
+    /**
+     * Records that the store was restored from a copy: entries that it lacks may be written again, as after an outage.
+     */
     void storeRestored(Millis now);
-    /** A call to the store was answered again. */
+    /** Records that a call to the store was answered again. */
     void storeReturned(Millis now);
-    /** Lets go of entries that did not come back in time; true where there were any. */
+    /** Removes entries that did not come back in time. @return whether there were any. */
     bool tick(Millis now);
 
     /** The store's revision up to which the list is complete. */
     Revision revision() const;
-    /** Everything known and not gone, in the order of names. */
+    /** All targets that are known and not removed, ordered by name. */
     std::vector<GatewayTarget> targets() const;
     bool empty() const;
-    /** Whether any entry is only kept since it may come back. */
+    /** Whether any entry is only kept because it may come back. */
     bool hasMissing() const;
 
 private:
     struct Entry
     {
         GatewayTarget target;
-        /** Since when the store does not list it any more. */
+        /** Since when the store no longer lists the entry. */
         std::optional<Millis> missingSince;
-        /** Until when it may come back. */
+        /** Until when the entry may come back. */
         Millis keptUntil;
-        /** The store's revision at which it was removed though the store was there; 0 where it may have lapsed. */
+        /**
+         * The store's revision at which the entry was removed while the store was available; 0 where it may have
+         * expired.
+         */
         Revision removedAt = 0;
         /** The store's revision at which this value was learnt. */
         Revision changedAt = 0;
@@ -141,32 +156,36 @@
         Millis bornAt;
     };
 
-    /** From now on entries that are missing may come back for a while. */
+    /** Starts the time in which missing entries may come back. */
     void beginGrace(Millis now);
     bool isGraceOver(Millis now) const;
-    /** Whether what is removed at that revision went after the store's return, and so cannot have lapsed before. */
+    /**
+     * Whether a removal at that revision came after the store's return, so that the entry cannot have expired before.
+     */
     bool isAfterReturn(Revision at) const;
     bool isOutdated(Revision at) const;
     void write(const GatewayTarget &target, Revision at);
-    /** Whether a list of a later era than the target's last word shows it as it was before. */
+    /**
+     * Whether the entry comes from a later era and shows the target as it was before its removal or announced leaving.
+     */
     bool isRestoredCopy(const GatewayTarget &target, Revision at) const;
-    /** Writes all of them; the entries that are not among them. */
+    /** Writes all targets. @return the entries that are not among them. */
     std::vector<std::map<TargetId, Entry>::iterator> writeAll(const std::vector<GatewayTarget> &targets, Revision at);
     void erase(std::map<TargetId, Entry>::iterator entry, Revision at);
-    /** An answer of the store that tells all up to at: the first one after its return tells of its absence. */
+    /** Records an answer of the store that is complete up to at. The first one after its return covers the outage. */
     void noteReturn(Revision at);
     void removeOrKeep(std::map<TargetId, Entry>::iterator entry, Revision at, Millis now);
     void noteGone(const TargetId &name, Revision at, Millis bornAt);
-    /** The list is complete up to at, without what happened on the way. */
+    /** Sets the list complete up to at, without the changes in between. */
     void setCompleteUpTo(Revision at);
 
-    /** By the names under which the platform lists them. */
+    /** By listed name. */
     std::map<TargetId, Entry> entries;
-    /** Names of targets that are gone, with the revision at which they went and their last life. */
+    /** Listed names of removed targets, with the revision of the removal and the last incarnation. */
     std::map<TargetId, Gone> gone;
-    /** What went before this revision is forgotten. */
+    /** Removals before this revision are forgotten. */
     Revision goneCompleteSince = 0;
-    /** Entries that are only kept since they may come back. */
+    /** The number of entries that are only kept because they may come back. */
     std::size_t missingEntryCount = 0;
     Revision completeRevision = 0;
     Revision lastChange = 0;
@@ -174,9 +193,9 @@
     Millis leaveBound{2000};
     std::optional<Millis> lostAt;
     std::optional<Millis> returnedAt;
-    /** What the first answer after the store's return told all up to; 0 before it. */
+    /** The revision up to which the first answer after the store's return was complete; 0 before that answer. */
     Revision revisionOnReturn = 0;
-    /** When the store was first heard of. */
+    /** When the store was first read. */
     std::optional<Millis> firstFullReadAt;
 };
 
--- a/sequoiausher/coordination/gateway/targetlisttest.cpp
+++ b/sequoiausher/coordination/gateway/targetlisttest.cpp
@@ -20,10 +20,10 @@
 
 } // namespace
 
-// Symptom: a target that had left got requests for two seconds more than it may.
-// Events: a single call to the store fails; just then a target's entry is removed for good.
-// Cause: each failed call counted as an absence in which entries lapse.
-TEST_CASE("a call that fails once delays no removal")
+// Guards against late removals after a single failed call. A call to the store fails just before a target's entry is
+// removed for good. When each failed call counted as an outage in which entries expire, the target got requests for two
+// seconds more than allowed.
+TEST_CASE("a single failed call delays no removal")
 {
     TargetList list;
     list.replaceAll({targetOf("a"), targetOf("b")}, 5, Millis{0});
@@ -43,7 +43,7 @@
     CHECK(list.revision() == 9);
 }
 
-TEST_CASE("an entry that is removed while the store is well is gone at once")
+TEST_CASE("an entry that is removed while the store is available is gone at once")
 {
     TargetList list;
     list.replaceAll({targetOf("a"), targetOf("b")}, 5, Millis{0});
@@ -52,10 +52,10 @@
     CHECK(list.revision() == 6);
 }
 
-// Symptom: after an outage of the store all requests went to one target, the others idle.
-// Events: the store is away for eight seconds, so entries lapse; it returns, and lists one entry for a second.
-// Cause: the list without the lapsed entries was believed.
-TEST_CASE("entries that lapse while the store is away stay for about two seconds after its return")
+// Guards against an incomplete list after an outage. The store is unavailable for eight seconds, so entries expire; for
+// a second after its return it lists only one entry. When this list was taken as complete, all requests went to one
+// target while the others were idle.
+TEST_CASE("entries that expire during an outage of the store stay for about two seconds after its return")
 {
     TargetList list;
     list.replaceAll({targetOf("a"), targetOf("b"), targetOf("c", true)}, 5, Millis{0});
@@ -65,13 +65,13 @@
     CHECK(list.targets() == std::vector{targetOf("a"), targetOf("b")});
     CHECK(list.hasMissing());
     CHECK_FALSE(list.tick(Millis{11000}));
-    SUBCASE("and go on as before when they come back")
+    SUBCASE("and stay when they are written again")
     {
         list.put(targetOf("a"), 10);
         CHECK_FALSE(list.tick(Millis{12000}));
         CHECK(list.targets() == std::vector{targetOf("a"), targetOf("b")});
     }
-    SUBCASE("and are gone after it")
+    SUBCASE("and are removed after that")
     {
         CHECK(list.tick(Millis{11300}));
         CHECK(list.targets() == std::vector{targetOf("b")});
@@ -80,7 +80,7 @@
     }
 }
 
-// Guards against a gateway that was cut off and takes what leaves after its return for lapsed.
+// Guards against a gateway that was cut off and treats entries removed after its return as expired.
 TEST_CASE("an entry that is removed after the store's return is gone within the bound")
 {
     constexpr Millis leaveBound{2000};
@@ -100,8 +100,8 @@
     }
 }
 
-// Guards against entries that are kept as lapsed where only this gateway was without the store.
-TEST_CASE("a peer that had the store all the while ends the wait for entries that may come back")
+// Guards against keeping entries as expired where only this gateway did not reach the store.
+TEST_CASE("a peer that always reached the store ends the wait for entries that may come back")
 {
     TargetList list;
     list.replaceAll({targetOf("a"), targetOf("b")}, 5, Millis{0});
@@ -113,24 +113,24 @@
     list.replaceAll({targetOf("b")}, 9, Millis{9000});
     CHECK(list.targets() == std::vector{targetOf("a"), targetOf("b")});
     CHECK_FALSE(list.isSettled(Millis{9100}));
-    SUBCASE("one whose list has not come as far does not")
+    SUBCASE("but not a peer whose list has an earlier revision")
     {
         list.confirmSettledByPeer(8, Millis{9100});
         CHECK_FALSE(list.tick(Millis{9200}));
     }
-    SUBCASE("nor one whose word may be of before the return")
+    SUBCASE("but not a peer whose report may be from before the return")
     {
         list.confirmSettledByPeer(9, Millis{8900});
         CHECK_FALSE(list.tick(Millis{9200}));
     }
-    SUBCASE("nor any while this gateway is without the store again")
+    SUBCASE("but no peer while this gateway does not reach the store again")
     {
         list.storeLost(Millis{9050});
         list.confirmSettledByPeer(9, Millis{9100});
         list.storeReturned(Millis{9150});
         CHECK_FALSE(list.tick(Millis{9200}));
     }
-    SUBCASE("another one does")
+    SUBCASE("a peer with the same revision does")
     {
         list.confirmSettledByPeer(9, Millis{9100});
         CHECK(list.tick(Millis{9200}));
@@ -140,7 +140,7 @@
     }
 }
 
-TEST_CASE("a list that follows another by its changes is the same after each of them")
+TEST_CASE("a list that follows another by its changes equals it after each of them")
 {
     TargetList first;
     TargetList second;
@@ -162,24 +162,24 @@
     CHECK(followChanges() == 2);
     first.put(targetOf("d"), 12);
     first.remove(TargetId{"a"}, 12, Millis{20});
-    // What went at the follower's own revision is told once more.
+    // Removals at the follower's own revision are sent once more.
     CHECK(followChanges() == 3);
-    // One that is removed and written again in the same answer of the store is there.
+    // A target that is removed and written again in the same answer of the store is listed.
     first.remove(TargetId{"d"}, 13, Millis{30});
     first.put(targetOf("d"), 13);
     followChanges();
     CHECK(second.targets().size() == 2);
     CHECK(first.findChangesSince(13)->gone.empty());
-    // Old and far changes are left alone.
+    // Changes that begin after the list's revision or end before it are not applied.
     CHECK_FALSE(second.apply({20, 21, {}, {}}));
     CHECK_FALSE(second.apply({3, 12, {}, {TargetId{"c"}}}));
     CHECK(second.targets().size() == 2);
 }
 
-// Symptom: gateways that rest while a hub reads the store went on sending to a dead target after an outage of the
-// store. Events: its entry lapses during the outage and is let go two seconds after the return, with no change in the
-// store. Cause: peers were told of changes by the store's revision alone, which had not moved.
-TEST_CASE("what does not come back after an outage is gone for peers too")
+// Guards against removals that peers do not learn of. A target's entry expires during an outage of the store and is
+// removed two seconds after the return, without a change in the store. When peers got changes by the store's revision
+// alone, which had not changed, gateways that follow a hub kept sending to the dead target.
+TEST_CASE("an entry that does not come back after an outage is removed at peers too")
 {
     TargetList first;
     TargetList second;
@@ -195,21 +195,21 @@
     CHECK(second.targets() == std::vector{targetOf("a")});
 }
 
-// Symptom: a gateway sent requests to a target three seconds after it had gone, while all others had dropped it.
-// Events: the target goes; a hub that started after that, or missed a stretch of the store's history, tells a gateway
-// whose list is older what changed since. Cause: the hub had never seen the target, so it did not name it as gone.
-TEST_CASE("who did not see all of a stretch tells the whole list, not the changes in it")
+// Guards against incomplete changes. A target is removed; then a hub that started after that, or missed a part of the
+// store's history, sends changes to a gateway with an older list. The hub never had the target, so it did not report
+// the removal, and the gateway sent requests to the target three seconds after all others had removed it.
+TEST_CASE("a list that missed a part of the history has no changes for that part, only the whole list")
 {
     TargetList behind;
     behind.replaceAll({targetOf("a"), targetOf("gone")}, 8, Millis{0});
-    SUBCASE("since it started after it")
+    SUBCASE("because it started later")
     {
         TargetList fresh;
         fresh.replaceAll({targetOf("a"), targetOf("new")}, 10, Millis{0});
         CHECK_FALSE(fresh.findChangesSince(8));
         CHECK(fresh.findChangesSince(10));
     }
-    SUBCASE("since it read the list again")
+    SUBCASE("because it read the whole list again")
     {
         TargetList jumped;
         jumped.replaceAll({targetOf("a")}, 5, Millis{0});
@@ -219,7 +219,7 @@
         CHECK_FALSE(jumped.findChangesSince(12));
         CHECK(jumped.findChangesSince(14));
     }
-    SUBCASE("but passes on what it was told of targets that it never had")
+    SUBCASE("but it passes on removals of targets that it never had")
     {
         TargetList third;
         third.replaceAll({targetOf("a")}, 5, Millis{0});
@@ -230,11 +230,11 @@
     }
 }
 
-// Symptom: gateways that rest sent requests to a target for seconds after it had gone. Events: a hub comes back from a
-// cut; within its grace the target's entry is removed for good, and the hub keeps it, since it may only have lapsed. It
-// tells what changed up to the present revision. Cause: the listener was then as new as everybody, and was told no
-// more.
-TEST_CASE("who keeps an entry that may be gone tells nothing, but a list of old to those who have none")
+// Guards against peers that miss a removal. A hub reaches the store again after a partition. Within its grace a
+// target's entry is removed for good, but the hub keeps it, because it may only have expired. When the hub sent changes
+// up to the current revision, its followers had the newest revision, got no further changes, and sent requests to the
+// target for seconds after its removal.
+TEST_CASE("a list that keeps an entry that may be gone has no changes to share, and an old revision for new gateways")
 {
     TargetList hub;
     hub.replaceAll({targetOf("a"), targetOf("b")}, 5, Millis{0});
@@ -246,13 +246,13 @@
     CHECK(hub.hasMissing());
     CHECK_FALSE(hub.findChangesSince(5));
     CHECK(hub.shareableRevision() == 1);
-    SUBCASE("until it is let go")
+    SUBCASE("until the entry is removed")
     {
         CHECK(hub.tick(Millis{5000} + expiredEntryGrace));
         REQUIRE(hub.findChangesSince(5));
         CHECK(hub.findChangesSince(5)->gone == std::vector{TargetId{"b"}});
     }
-    SUBCASE("until it is back")
+    SUBCASE("until the entry is back")
     {
         hub.put(targetOf("b"), 8);
         CHECK_FALSE(hub.hasMissing());
@@ -273,10 +273,10 @@
 
 } // namespace
 
-// Symptom: requests went to a restarted target as to one that holds their prompts, over connections of before.
-// Events: a target crashes behind a cut, starts again under its name, and writes its entry.
-// Cause: the entry was taken for a heartbeat of the target that was known.
-TEST_CASE("a later life takes the place of the one before it")
+// Guards against using a restarted target as before. A target crashes during a partition, restarts under its name and
+// writes its entry. When that entry was taken for a heartbeat of the known target, requests went there as if the target
+// still held their prompts, over the old connections.
+TEST_CASE("a later incarnation replaces the one before it")
 {
     TargetList list;
     list.replaceAll({incarnationOf("a", 100), targetOf("b")}, 5, Millis{0});
@@ -285,11 +285,10 @@
     CHECK(list.findChangesSince(5)->written == std::vector{incarnationOf("a", 200)});
 }
 
-// Symptom: a target that had just started was passed over as leaving.
-// Events: a target says that it leaves behind a cut, dies, and starts again elsewhere; the cut heals, and what the old
-// life had written arrives after the new one's first entry.
-// Cause: the entry that was written last was believed, whichever life it was of.
-TEST_CASE("an earlier life's word that comes late changes nothing")
+// Guards against late entries of an old incarnation. A target announces during a partition that it leaves, dies, and
+// restarts elsewhere; after the partition the old incarnation's entry arrives after the new one's first entry. When the
+// entry written last was used regardless of its incarnation, the new target was skipped as leaving.
+TEST_CASE("a late entry of an earlier incarnation changes nothing")
 {
     TargetList list;
     list.replaceAll({incarnationOf("a", 200)}, 5, Millis{0});
@@ -301,30 +300,30 @@
     CHECK(list.targets() == std::vector{incarnationOf("a", 200)});
     CHECK(list.apply({8, 9, {incarnationOf("a", 100)}, {}}));
     CHECK(list.targets() == std::vector{incarnationOf("a", 200)});
-    // The entry is removed: whoever writes there next is believed.
+    // After the entry is removed, the next entry of any incarnation is used.
     list.remove(TargetId{"a"}, 10, Millis{20});
     CHECK(list.empty());
     list.put(incarnationOf("a", 100), 11);
     CHECK(list.targets() == std::vector{incarnationOf("a", 100)});
 }
 
-// Symptom: a gateway went on sending to a target that had left, and to its address after it, until it read the whole
-// list again; or it passed a target over that had long started anew. Events: its watch waits at the store when it
-// begins to follow a peer, or when its way to the store fails; the peer tells it of a later change; then the answer of
-// the watch arrives, from before that change. Cause: the later word was overwritten by the earlier one, under the later
-// one's revision, so no peer told it again.
-TEST_CASE("an answer of the store from before what a peer told changes nothing")
+// Guards against an old answer of the store that overwrites later changes. A gateway's watch waits at the store when
+// the gateway starts to follow a peer, or when its connection to the store fails. The peer sends a later change, and
+// then the watch is answered with data from before it. When this answer overwrote the change, but under the later
+// revision, no peer sent the change again. The gateway kept sending to a target that had left, and to whatever used its
+// address afterwards, until it read the whole list again; or it skipped a target that had restarted long before.
+TEST_CASE("an answer of the store from before a peer's changes changes nothing")
 {
     TargetList list;
     list.replaceAll({targetOf("a"), targetOf("b"), targetOf("c")}, 100, Millis{0});
     REQUIRE(list.apply({100, 200, {targetOf("a", true), targetOf("d")}, {TargetId{"b"}}}));
     const std::vector<GatewayTarget> expected = list.targets();
-    SUBCASE("an entry that has left, or leaves")
+    SUBCASE("an entry of a target that has left or is leaving")
     {
         list.put(targetOf("b"), 120);
         list.put(targetOf("a"), 120);
     }
-    SUBCASE("one that is written anew since")
+    SUBCASE("an entry that was written again since")
     {
         list.remove(TargetId{"d"}, 120, Millis{10});
         list.removeUnreadable(TargetId{"d"}, 120);
@@ -332,13 +331,13 @@
     CHECK(list.targets() == expected);
     CHECK(list.revision() == 200);
     CHECK(list.findChangesSince(200)->written.empty());
-    // What the store says of the same revision, or of a later one, counts.
+    // Answers of the store with the same revision, or a later one, are applied.
     list.put(targetOf("b"), 200);
     list.remove(TargetId{"c"}, 201, Millis{20});
     CHECK(list.targets() == std::vector{targetOf("a", true), targetOf("b"), targetOf("d")});
 }
 
-TEST_CASE("an entry that tells no life is of the known one")
+TEST_CASE("an entry without an incarnation belongs to the known one")
 {
     TargetList list;
     list.replaceAll({incarnationOf("a", 200)}, 5, Millis{0});
@@ -348,18 +347,17 @@
     CHECK(list.targets() == std::vector{incarnationOf("a", 300)});
 }
 
-// Symptom: one gateway sent requests to an entry that another writer had spoilt, another one did not.
-// Events: a good entry is overwritten by one that cannot be read; the first gateway hears of it by its watch, the
-// second reads the list anew. Cause: what could not be read was left out of a list, and ignored where it came as a
-// change.
-TEST_CASE("an entry that cannot be read names no target, however it is learnt, and the others hold")
+// Guards against lists that differ after an entry was corrupted. Another writer overwrites a good entry by one that
+// cannot be read. One gateway gets this by its watch, another one by reading the list again. When unreadable entries
+// were left out of a list, but ignored as changes, only the first gateway kept sending requests to the target.
+TEST_CASE("an unreadable entry removes its target, whether listed or watched, and keeps the other targets")
 {
     TargetList watching;
     watching.replaceAll({incarnationOf("a", 200), targetOf("b")}, 5, Millis{0});
     watching.removeUnreadable(TargetId{"a"}, 6);
     TargetList listing;
     listing.replaceAll({incarnationOf("a", 200), targetOf("b")}, 5, Millis{0});
-    // Also where entries that are missing are kept since the store was away.
+    // This also holds where missing entries are kept because the store was unavailable.
     listing.storeLost(Millis{1000});
     listing.storeReturned(Millis{9000});
     listing.replaceAll({targetOf("b")}, 6, Millis{9000});
@@ -375,7 +373,7 @@
 
 namespace {
 
-/** A store that may return from a copy, the targets that write to it, and two gateways: one reads it, one is told. */
+/** A store that may be restored from a copy, the targets that write to it, a gateway that reads it, and a follower. */
 class RestoredFleet
 {
 public:
@@ -418,7 +416,7 @@
         this->checkInvariants();
     }
 
-    /** All that is lost is written again and heard, and nothing is kept any more. */
+    /** Writes and delivers all lost entries again, and runs until no missing entry is kept. */
     void settle()
     {
         this->rewrite();
@@ -498,7 +496,7 @@
         this->rewrite();
     }
 
-    /** Targets write their entries again where the copy has others, and entries that nobody renews are removed. */
+    /** Targets write their entries again where the copy differs, and entries that no target renews are removed. */
     void rewrite()
     {
         for (const auto &[name, isLeaving] : std::map(this->alive)) {
@@ -540,7 +538,7 @@
         this->observedLeft = this->leftTargets;
     }
 
-    /** A word of the reader to the other one; it may come late, twice or after a later one. */
+    /** Sends the reader's changes to the follower; the message may arrive late, twice or out of order. */
     void sendToFollower()
     {
         const auto changes = this->reader.findChangesSince(this->follower.revision());
@@ -583,7 +581,7 @@
     Millis now{1000};
     std::uint64_t era = 1;
     Revision revision = 1;
-    /** Names, and whether each says that it leaves. */
+    /** Names, and whether each target has announced that it leaves. */
     std::map<std::string, bool> content;
     std::pair<std::map<std::string, bool>, Revision> backup{{}, 1};
     std::map<Revision, std::string> events;
@@ -600,8 +598,8 @@
 
 } // namespace
 
-// Guards against lists that part, go back or bring back who left when the store returns from copies again and again.
-TEST_CASE("a list and one that is told of it agree with the targets after any series of returns from copies")
+// Guards against lists that diverge, go back or list removed targets again when the store is restored repeatedly.
+TEST_CASE("a list and its follower agree with the targets after any series of restores from copies")
 {
     for (unsigned int seed = 1; seed <= 200; ++seed) {
         CAPTURE(seed);
