--- a/sequoiausher/coordination/gateway/holderchoice.cpp
+++ b/sequoiausher/coordination/gateway/holderchoice.cpp
@@ -43,12 +43,12 @@
     }
     // A hot part has several holders. If all gateways chose the first holder with room, they would fill it together
     // before any of them learns of the others' requests.
-    std::uint64_t place = requestHash % total;
+    std::uint64_t position = requestHash % total;
     for (const auto &[index, room] : rooms) {
-        if (place < room) {
+        if (position < room) {
             return index;
         }
-        place -= room;
+        position -= room;
     }
     return std::nullopt;
 }
--- a/sequoiausher/coordination/gateway/peerdirectory.cpp
+++ b/sequoiausher/coordination/gateway/peerdirectory.cpp
@@ -168,7 +168,7 @@
         return from.empty() ? all.front() : *from[order % from.size()];
     }
 
-    PeerRecord &entryOf(const InstanceId &peer)
+    PeerRecord &findOrAddRecord(const InstanceId &peer)
     {
         const auto [entry, isNew] = this->known.try_emplace(peer);
         if (isNew) {
@@ -224,7 +224,7 @@
     if (peer == this->d->hub) {
         this->d->unansweredReports = 0;
     }
-    Private::PeerRecord &known = this->d->entryOf(peer);
+    Private::PeerRecord &known = this->d->findOrAddRecord(peer);
     known.lastSeenAt = now;
     known.newestSentAt = report.sentAt;
     known.isHub = report.isHub;
@@ -232,7 +232,7 @@
     known.dataCentre = report.dataCentre;
     for (const GatewayMember &member : report.members) {
         if (member.instance != this->d->self && member.age < peerTtl) {
-            Private::PeerRecord &other = this->d->entryOf(member.instance);
+            Private::PeerRecord &other = this->d->findOrAddRecord(member.instance);
             other.lastSeenAt = std::max(other.lastSeenAt, now - member.age);
             other.strength = member.strength;
             other.dataCentre = member.dataCentre;
--- a/sequoiausher/coordination/gateway/prefixdirectory.cpp
+++ b/sequoiausher/coordination/gateway/prefixdirectory.cpp
@@ -66,7 +66,7 @@
         return this->entries.front();
     }
 
-    Holder &holderOf(Entry &entry, const TargetId &target, Millis now)
+    Holder &findOrAddHolder(Entry &entry, const TargetId &target, Millis now)
     {
         std::erase_if(entry.holders, [this, now](const Holder &h) { return now - h.lastUsedAt > this->settings.ttl; });
         const auto found = std::find_if(
@@ -88,9 +88,9 @@
     /** The most recently used part comes first. */
     EntryList entries;
     std::unordered_map<std::uint64_t, EntryList::iterator> entryOfPart;
-    void addUpdate(PlacementUpdate item)
+    void addUpdate(PlacementUpdate update)
     {
-        this->updates.push_back(std::move(item));
+        this->updates.push_back(std::move(update));
         if (this->updates.size() > maxKeptUpdates) {
             this->updates.pop_front();
             this->firstUpdateNumber += 1;
@@ -113,7 +113,7 @@
 
 void PrefixDirectory::recordSent(std::uint64_t part, const TargetId &target, Millis now)
 {
-    Holder &holder = this->d->holderOf(this->d->findOrAdd(part), target, now);
+    Holder &holder = this->d->findOrAddHolder(this->d->findOrAdd(part), target, now);
     holder.lastUsedAt = now;
     const bool isUpdateDue
         = !holder.announcedAt || now - *holder.announcedAt > this->d->settings.ttl / repeatTtlDivisor;
@@ -129,7 +129,7 @@
                                           Millis now,
                                           UpdateScope scope)
 {
-    Holder &holder = this->d->holderOf(this->d->findOrAdd(part), target, now);
+    Holder &holder = this->d->findOrAddHolder(this->d->findOrAdd(part), target, now);
     holder.lastUsedAt = now;
     // The peer announced this placement to all gateways, or this gateway passes it on.
     holder.announcedAt = now;
@@ -167,10 +167,10 @@
     std::uint64_t &next = this->d->nextUpdateFor[peer];
     next = std::max(next, this->d->firstUpdateNumber);
     while (next < this->d->firstUpdateNumber + this->d->updates.size() && due.size() < maxUpdatesPerReport) {
-        const PlacementUpdate &item = this->d->updates[next - this->d->firstUpdateNumber];
+        const PlacementUpdate &update = this->d->updates[next - this->d->firstUpdateNumber];
         next += 1;
-        if (item.scope <= scope && item.from != peer) {
-            due.push_back(item.placement);
+        if (update.scope <= scope && update.from != peer) {
+            due.push_back(update.placement);
         }
     }
     return due;
--- a/sequoiausher/coordination/gateway/storedutytest.cpp
+++ b/sequoiausher/coordination/gateway/storedutytest.cpp
@@ -46,7 +46,7 @@
     /** Runs the fleet for the given time. @return the number of reads and watches that were started. */
     std::size_t run(Millis time)
     {
-        const std::size_t before = this->readings;
+        const std::size_t before = this->reads;
         for (const Millis end = this->now + time; this->now < end; this->now = this->now + tick) {
             this->deliver();
             for (std::size_t i = 0; i < this->gateways.size(); ++i) {
@@ -55,7 +55,7 @@
                 }
             }
         }
-        return this->readings - before;
+        return this->reads - before;
     }
 
     /** The age of the oldest knowledge among the gateways that are alive and not cut off. */
@@ -154,7 +154,7 @@
     void read(Gateway &gateway, std::size_t i)
     {
         // A call of an isolated gateway does not reach the store.
-        this->readings += this->isolated.contains(i) ? 0 : 1;
+        this->reads += this->isolated.contains(i) ? 0 : 1;
         if (this->reaches(i)) {
             gateway.duty.recordStoreAnswer(this->now);
             gateway.duty.recordFirstFullRead(this->now);
@@ -215,7 +215,7 @@
     Millis now{1000};
     mutable std::deque<Gateway> gateways;
     std::deque<Message> messages;
-    std::size_t readings = 0;
+    std::size_t reads = 0;
 };
 
 } // namespace
@@ -311,13 +311,13 @@
             fleet.refused.insert(first);
         }
         Millis oldest;
-        std::size_t readings = 0;
+        std::size_t reads = 0;
         for (int step = 0; step < 100; ++step) {
-            readings += fleet.run(Millis{50});
+            reads += fleet.run(Millis{50});
             oldest = std::max(oldest, fleet.oldestKnowledge());
         }
         CHECK(oldest < settings.leaveBound * 3 / 4);
-        CHECK(readings < 60);
+        CHECK(reads < 60);
     }
 }
 
--- a/sequoiausher/coordination/gateway/targetboard.cpp
+++ b/sequoiausher/coordination/gateway/targetboard.cpp
@@ -61,9 +61,9 @@
     /** Requests sent by this gateway since the last round of reports, in which gateways got each other's loads. */
     std::uint32_t sentSinceReport = 0;
     /** The sequence number of the last request sent to the target; 0 for none. */
-    std::uint64_t sentOrder = 0;
+    std::uint64_t lastSentNumber = 0;
     /** The moving average of the answer time; 0 before the first answer. */
-    double answerMs = 0;
+    double averageAnswerMs = 0;
     /** The moving average of the load in the last rounds; absent before the first round. */
     std::optional<double> averageLoad;
     TargetHealthScore health;
@@ -77,7 +77,7 @@
 /**
  * The number of holders that may be chosen. Holders that failed lately or left do not indicate how much a part is used.
  */
-std::size_t usableAmong(const std::vector<TargetId> &holders, const PoolLoad &load)
+std::size_t countUsableHolders(const std::vector<TargetId> &holders, const PoolLoad &load)
 {
     return static_cast<std::size_t>(
         std::count_if(load.targets.begin(), load.targets.end(), [&holders](const TargetLoad &target) {
@@ -170,7 +170,7 @@
      */
     static double expectedInFlight(const TargetState &target, double meanPeersInFlight)
     {
-        const double left = target.answerMs > 0 ? std::exp(-reportAgeMs / target.answerMs) : 1;
+        const double left = target.averageAnswerMs > 0 ? std::exp(-reportAgeMs / target.averageAnswerMs) : 1;
         return target.ownInFlight + meanPeersInFlight
             + (static_cast<double>(target.peersInFlight) - meanPeersInFlight) * left;
     }
@@ -192,7 +192,7 @@
             }
             const double expected = expectedInFlight(*candidates[i], mean);
             const bool isTie = best && std::abs(expected - least) < equalLoadTolerance;
-            const bool isLongerUnused = isTie && candidates[i]->sentOrder < candidates[*best]->sentOrder;
+            const bool isLongerUnused = isTie && candidates[i]->lastSentNumber < candidates[*best]->lastSentNumber;
             if (!best || isLongerUnused || (!isTie && expected < least)) {
                 best = i;
                 least = expected;
@@ -358,9 +358,10 @@
         const bool isSkipped = !isBackingOff && (state->health.isEjected(now) || now < state->fullUntil);
         backingOff += isBackingOff ? 1 : 0;
         skipped += isSkipped ? 1 : 0;
-        const std::uint32_t likely = (spreadsByRoom ? Private::smoothedInFlight(*state) : inFlight)
+        const std::uint32_t estimatedInFlight = (spreadsByRoom ? Private::smoothedInFlight(*state) : inFlight)
             + this->d->estimateUnreportedRequests(*state);
-        load.targets.push_back({id, state->hash, likely, inFlight, !excluded && !isSkipped && !isBackingOff});
+        load.targets.push_back(
+            {id, state->hash, estimatedInFlight, inFlight, !excluded && !isSkipped && !isBackingOff});
     }
     // If most targets fail, the cause is not in the targets alone, and skipping them would overload the rest: use all.
     const bool useSkipped = skipped * 2 > candidates.size() - backingOff;
@@ -376,9 +377,10 @@
     const std::optional<std::size_t> holder = chooseHolder(criteria.holders, load, criteria.requestHash);
     // A part with several holders of which none accepts the request is hot. If the part's hash decided, all gateways
     // would fill the same additional target.
-    const bool isHotPart = !holder && spreadsByRoom && usableAmong(criteria.holders, load) >= minHoldersOfHotPart;
-    const std::uint64_t place = isHotPart ? criteria.requestHash : criteria.partHash;
-    const Choice choice{place, criteria.boundPercent, holder, false, criteria.firstPartHash};
+    const bool isHotPart
+        = !holder && spreadsByRoom && countUsableHolders(criteria.holders, load) >= minHoldersOfHotPart;
+    const std::uint64_t placementHash = isHotPart ? criteria.requestHash : criteria.partHash;
+    const Choice choice{placementHash, criteria.boundPercent, holder, false, criteria.firstPartHash};
     // A part without holders is read by the first target that gets it, and gateways learn of that late. Until then they
     // agree on a target only if the hash alone decides.
     const bool isUnread = spreadsByRoom && criteria.holders.empty();
@@ -415,7 +417,7 @@
     if (TargetState *state = this->d->find(target)) {
         state->ownInFlight += 1;
         state->sentSinceReport += 1;
-        state->sentOrder = ++this->d->sentCount;
+        state->lastSentNumber = ++this->d->sentCount;
     }
 }
 
@@ -470,7 +472,8 @@
 {
     if (TargetState *state = this->d->find(target)) {
         const auto elapsedMs = static_cast<double>(elapsed.count);
-        state->answerMs += state->answerMs > 0 ? (elapsedMs - state->answerMs) * answerTimeWeight : elapsedMs;
+        state->averageAnswerMs
+            += state->averageAnswerMs > 0 ? (elapsedMs - state->averageAnswerMs) * answerTimeWeight : elapsedMs;
     }
 }
 
--- a/sequoiausher/coordination/gateway/targetlist.cpp
+++ b/sequoiausher/coordination/gateway/targetlist.cpp
@@ -265,8 +265,8 @@
 
 Revision TargetList::shareableRevision() const
 {
-    constexpr Revision old = 1;
-    return this->hasMissing() ? old : this->completeRevision;
+    constexpr Revision oldRevision = 1;
+    return this->hasMissing() ? oldRevision : this->completeRevision;
 }
 
 Revision TargetList::changedAt() const
