--- a/sequoiausher/coordination/gateway/prefixdirectory.cpp
+++ b/sequoiausher/coordination/gateway/prefixdirectory.cpp
@@ -98,9 +98,9 @@
     }
 
     std::deque<PlacementUpdate> updates;
-    /** The number of the oldest item in updates. */
+    /** The sequence number of the first element of updates. */
     std::uint64_t firstUpdateNumber = 0;
-    /** The number of the next item for each peer. */
+    /** The sequence number of the next update for each peer. */
     std::map<InstanceId, std::uint64_t> nextUpdateFor;
 };
 
--- a/sequoiausher/coordination/gateway/targetboard.cpp
+++ b/sequoiausher/coordination/gateway/targetboard.cpp
@@ -60,7 +60,7 @@
     std::uint32_t peersInFlight = 0;
     /** Requests sent by this gateway since the last round of reports, in which gateways got each other's loads. */
     std::uint32_t sentSinceReport = 0;
-    /** The sequence number of the last request sent to the target; 0 for none. */
+    /** The sequence number of the last request sent to the target, among all requests of this gateway; 0 for none. */
     std::uint64_t lastSentNumber = 0;
     /** The moving average of the answer time; 0 before the first answer. */
     double averageAnswerMs = 0;
