--- a/lab/model/engineservicemodel.cpp
+++ b/lab/model/engineservicemodel.cpp
@@ -260,15 +260,15 @@
         TargetCriteria criteria;
         criteria.service = service;
         criteria.policy = this->policy;
-        criteria.partHash = parts.last();
+        criteria.partHash = parts.lastShared();
         criteria.firstPartHash = parts.first();
         criteria.holders = parts.holders(gateway.parts, this->events.clock());
         criteria.requestHash = this->random();
         const TargetId target = gateway.board->choose(criteria, this->events.clock())->target.id;
         gateway.board->recordStart(target);
         parts.recordSent(gateway.parts, target, this->events.clock());
-        this->placements.push_back({this->events.now(), index, parts.last(), target});
-        this->work(index, kind, target, parts.last());
+        this->placements.push_back({this->events.now(), index, parts.lastShared(), target});
+        this->work(index, kind, target, parts.lastShared());
     }
 
     void work(std::size_t gateway, std::size_t kind, const TargetId &target, std::uint64_t part)
--- a/sequoiausher/coordination/gateway/gatewayconfiguration.h
+++ b/sequoiausher/coordination/gateway/gatewayconfiguration.h
@@ -152,7 +152,7 @@
  * would be attributed to the new one, and requests would be sent there because of prompts that it never read. With an
  * id for each incarnation, reports about an earlier one, whether from peers or late, match no target.
  */
-inline TargetId targetLife(const TargetId &name, Millis bornAt)
+inline TargetId incarnationId(const TargetId &name, Millis bornAt)
 {
     return bornAt == Millis{0} ? name : TargetId{name.value + "~" + std::to_string(bornAt.count)};
 }
@@ -160,7 +160,7 @@
 /** Returns the name under which the platform lists the target, which is the same for all its incarnations. */
 inline TargetId listedName(const GatewayTarget &target)
 {
-    const TargetId suffix = targetLife({}, target.bornAt);
+    const TargetId suffix = incarnationId({}, target.bornAt);
     return TargetId{target.id.value.substr(0, target.id.value.size() - suffix.value.size())};
 }
 
--- a/sequoiausher/coordination/gateway/peerdirectory.cpp
+++ b/sequoiausher/coordination/gateway/peerdirectory.cpp
@@ -164,7 +164,7 @@
         const bool usesOwnDataCentre
             = remoteHubs.empty() || (!ownDataCentreHubs.empty() && !this->isInOwnDataCentre(this->hub));
         const std::vector<const InstanceId *> &from = usesOwnDataCentre ? ownDataCentreHubs : remoteHubs;
-        const std::uint64_t order = hash64(this->self.value, this->seed) + this->hubChanges;
+        const std::uint64_t order = hash64(this->self.value, this->hubOrderSeed) + this->hubChanges;
         return from.empty() ? all.front() : *from[order % from.size()];
     }
 
@@ -180,7 +180,7 @@
     InstanceId self;
     std::set<InstanceId> seeds;
     std::map<InstanceId, PeerRecord> known;
-    std::uint64_t seed = 0;
+    std::uint64_t hubOrderSeed = 0;
     std::uint16_t strength = 0;
     DataCentreId dataCentre;
     bool hasReceivedReport = false;
@@ -196,11 +196,11 @@
     Millis hubsUpdatedAt;
 };
 
-PeerDirectory::PeerDirectory(InstanceId self, const std::vector<InstanceId> &seeds, std::uint64_t seed)
+PeerDirectory::PeerDirectory(InstanceId self, const std::vector<InstanceId> &seeds, std::uint64_t hubOrderSeed)
     : d(std::make_unique<Private>())
 {
     this->d->self = std::move(self);
-    this->d->seed = seed;
+    this->d->hubOrderSeed = hubOrderSeed;
     this->setSeeds(seeds);
 }
 
@@ -309,13 +309,13 @@
     return position != hubs.end() && static_cast<std::size_t>(position - hubs.begin()) < this->d->selfRank;
 }
 
-bool PeerDirectory::isHub(const InstanceId &peer) const
+bool PeerDirectory::statedHub(const InstanceId &peer) const
 {
     const auto found = this->d->known.find(peer);
     return found != this->d->known.end() && found->second.isHub;
 }
 
-std::vector<InstanceId> PeerDirectory::hubPeers() const
+std::vector<InstanceId> PeerDirectory::statedHubs() const
 {
     std::vector<InstanceId> all;
     for (const auto &[peer, known] : this->d->known) {
--- a/sequoiausher/coordination/gateway/peerdirectory.h
+++ b/sequoiausher/coordination/gateway/peerdirectory.h
@@ -10,7 +10,7 @@
 // data centres once, from hub to hub. Hubs are not elected, and a gateway that is asked for a reply always gives one,
 // so a difference between two gateways' lists only makes some reports a little older.
 //
-//     PeerDirectory directory(self, seeds, seed);
+//     PeerDirectory directory(self, seeds, hubOrderSeed);
 //     directory.recordReport(peer, report, now);
 //     for (const DueReport &due : directory.takeDueReports(now)) { send(due.peer, reportFor(due)); }
 
@@ -40,8 +40,8 @@
 class PeerDirectory
 {
 public:
-    /** @param seed for the order in which this gateway prefers hubs. */
-    PeerDirectory(InstanceId self, const std::vector<InstanceId> &seeds, std::uint64_t seed);
+    /** @param hubOrderSeed for the order in which this gateway prefers hubs. */
+    PeerDirectory(InstanceId self, const std::vector<InstanceId> &seeds, std::uint64_t hubOrderSeed);
     ~PeerDirectory();
 
     void setSeeds(const std::vector<InstanceId> &seeds);
@@ -66,9 +66,9 @@
     /** Whether the peer is a hub that comes before this gateway in the order of the hubs. */
     bool comesBefore(const InstanceId &peer, Millis now) const;
     /** Whether the peer's last report stated that it is a hub. */
-    bool isHub(const InstanceId &peer) const;
+    bool statedHub(const InstanceId &peer) const;
     /** The peers whose last report stated that they are hubs. */
-    std::vector<InstanceId> hubPeers() const;
+    std::vector<InstanceId> statedHubs() const;
 
     /** The peers that reports may be sent to: the seeds and all gateways that were heard of recently. */
     std::vector<InstanceId> peers() const;
--- a/sequoiausher/coordination/gateway/peerdirectorytest.cpp
+++ b/sequoiausher/coordination/gateway/peerdirectorytest.cpp
@@ -149,7 +149,7 @@
         const Millis now{round * 300};
         fleet.round(now);
         for (std::size_t i = 0; i < 66; ++i) {
-            for (const InstanceId &hub : fleet.directories[i].hubPeers()) {
+            for (const InstanceId &hub : fleet.directories[i].statedHubs()) {
                 newest[i] = std::max(newest[i], fleet.directories[i].newestReportFrom(hub));
             }
             if (!fleet.dead.contains(i)) {
--- a/sequoiausher/coordination/gateway/promptparts.cpp
+++ b/sequoiausher/coordination/gateway/promptparts.cpp
@@ -32,7 +32,7 @@
     return this->shared.empty();
 }
 
-std::uint64_t PromptParts::last() const
+std::uint64_t PromptParts::lastShared() const
 {
     return this->shared.empty() ? 0 : this->shared.back();
 }
--- a/sequoiausher/coordination/gateway/promptparts.h
+++ b/sequoiausher/coordination/gateway/promptparts.h
@@ -28,7 +28,7 @@
 
     bool empty() const;
     /** The last shared part: a target that has it cached most likely has those before it too. 0 where there is none. */
-    std::uint64_t last() const;
+    std::uint64_t lastShared() const;
     /** The first part; 0 where there is none. */
     std::uint64_t first() const;
 
--- a/sequoiausher/coordination/gateway/promptpartstest.cpp
+++ b/sequoiausher/coordination/gateway/promptpartstest.cpp
@@ -42,10 +42,10 @@
 TEST_CASE("the last part is the request's own, unless it is the only one")
 {
     CHECK(PromptParts().empty());
-    CHECK(PromptParts({7}).last() == 7);
+    CHECK(PromptParts({7}).lastShared() == 7);
     const PromptParts parts({1, 2, 3});
     CHECK(parts.first() == 1);
-    CHECK(parts.last() == 2);
+    CHECK(parts.lastShared() == 2);
 }
 
 // Guards against reading prompts again that another target has cached. After requests moved on to a second target, or a
--- a/sequoiausher/coordination/gateway/restoredstore.cpp
+++ b/sequoiausher/coordination/gateway/restoredstore.cpp
@@ -2,23 +2,23 @@
 
 namespace Sequoiausher {
 
-void RestoredStore::recordReturn(Revision newestVersion, Millis now)
+void RestoredStore::recordRestore(Revision newestVersion, Millis now)
 {
-    this->returnedAt = now;
-    this->newestBeforeReturn = newestVersion;
-    this->copyWrittenAt.reset();
+    this->restoredAt = now;
+    this->newestBeforeRestore = newestVersion;
+    this->copyRevision.reset();
 }
 
-bool RestoredStore::provesNothingNewer(Revision version, Revision writtenAt, Millis now)
+bool RestoredStore::provesNewest(Revision version, Revision writtenAt, Millis now)
 {
-    if (!this->returnedAt || version > this->newestBeforeReturn) {
+    if (!this->restoredAt || version > this->newestBeforeRestore) {
         return true;
     }
-    this->copyWrittenAt = this->copyWrittenAt.value_or(writtenAt);
-    if (version < this->newestBeforeReturn) {
+    this->copyRevision = this->copyRevision.value_or(writtenAt);
+    if (version < this->newestBeforeRestore) {
         return false;
     }
-    return writtenAt != *this->copyWrittenAt || now >= *this->returnedAt + rewriteTime;
+    return writtenAt != *this->copyRevision || now >= *this->restoredAt + rewriteTime;
 }
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/gateway/restoredstore.h
+++ b/sequoiausher/coordination/gateway/restoredstore.h
@@ -6,8 +6,8 @@
 // published.
 //
 //     RestoredStore restored;
-//     restored.recordReturn(newestVersion, now);
-//     if (restored.provesNothingNewer(version, writtenAt, now)) { freshness.proven(version, readAt); }
+//     restored.recordRestore(newestVersion, now);
+//     if (restored.provesNewest(version, writtenAt, now)) { freshness.proven(version, readAt); }
 
 #include "sequoiausher/base/identifiers.h"
 #include "sequoiausher/base/millis.h"
@@ -24,15 +24,15 @@
 {
 public:
     /** @param newestVersion the newest version that was known to be published before. */
-    void recordReturn(Revision newestVersion, Millis now);
+    void recordRestore(Revision newestVersion, Millis now);
     /** @param writtenAt the store's position at which the version was written. */
-    bool provesNothingNewer(Revision version, Revision writtenAt, Millis now);
+    bool provesNewest(Revision version, Revision writtenAt, Millis now);
 
 private:
-    std::optional<Millis> returnedAt;
-    Revision newestBeforeReturn = 0;
+    std::optional<Millis> restoredAt;
+    Revision newestBeforeRestore = 0;
     /** The position at which the version in the first read after the return was written. */
-    std::optional<Revision> copyWrittenAt;
+    std::optional<Revision> copyRevision;
 };
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/gateway/restoredstoretest.cpp
+++ b/sequoiausher/coordination/gateway/restoredstoretest.cpp
@@ -8,18 +8,18 @@
 TEST_CASE("a copy's older version proves nothing until the newest one is written again")
 {
     RestoredStore restored;
-    CHECK(restored.provesNothingNewer(5, 10, Millis{500}));
-    restored.recordReturn(7, Millis{1000});
-    CHECK_FALSE(restored.provesNothingNewer(6, 12, Millis{1100}));
-    CHECK_FALSE(restored.provesNothingNewer(6, 12, Millis{60000}));
+    CHECK(restored.provesNewest(5, 10, Millis{500}));
+    restored.recordRestore(7, Millis{1000});
+    CHECK_FALSE(restored.provesNewest(6, 12, Millis{1100}));
+    CHECK_FALSE(restored.provesNewest(6, 12, Millis{60000}));
     SUBCASE("the same version")
     {
-        CHECK(restored.provesNothingNewer(7, 13, Millis{1200}));
+        CHECK(restored.provesNewest(7, 13, Millis{1200}));
     }
     SUBCASE("a newer version, which no gateway had read")
     {
-        CHECK(restored.provesNothingNewer(9, 13, Millis{1200}));
-        CHECK_FALSE(restored.provesNothingNewer(6, 12, Millis{1300}));
+        CHECK(restored.provesNewest(9, 13, Millis{1200}));
+        CHECK_FALSE(restored.provesNewest(6, 12, Millis{1300}));
     }
 }
 
@@ -27,11 +27,11 @@
 TEST_CASE("a copy's version that is the newest known one counts as proof only after the time for writing again")
 {
     RestoredStore restored;
-    restored.recordReturn(7, Millis{1000});
-    CHECK_FALSE(restored.provesNothingNewer(7, 12, Millis{1100}));
-    CHECK_FALSE(restored.provesNothingNewer(7, 12, Millis{1000} + rewriteTime - Millis{1}));
-    CHECK(restored.provesNothingNewer(7, 12, Millis{1000} + rewriteTime));
-    restored.recordReturn(7, Millis{9000});
-    CHECK_FALSE(restored.provesNothingNewer(7, 12, Millis{9100}));
-    CHECK(restored.provesNothingNewer(7, 14, Millis{9100}));
+    restored.recordRestore(7, Millis{1000});
+    CHECK_FALSE(restored.provesNewest(7, 12, Millis{1100}));
+    CHECK_FALSE(restored.provesNewest(7, 12, Millis{1000} + rewriteTime - Millis{1}));
+    CHECK(restored.provesNewest(7, 12, Millis{1000} + rewriteTime));
+    restored.recordRestore(7, Millis{9000});
+    CHECK_FALSE(restored.provesNewest(7, 12, Millis{9100}));
+    CHECK(restored.provesNewest(7, 14, Millis{9100}));
 }
--- a/sequoiausher/coordination/gateway/routetable.cpp
+++ b/sequoiausher/coordination/gateway/routetable.cpp
@@ -58,7 +58,7 @@
     return this->d->configuration;
 }
 
-const GatewayRoute *RouteTable::find(std::string_view host, std::string_view target) const
+const GatewayRoute *RouteTable::find(std::string_view host, std::string_view pathAndQuery) const
 {
     const auto routes = this->d->byHost.find(normaliseHost(host));
     if (routes == this->d->byHost.end()) {
@@ -66,7 +66,7 @@
     }
     // Path prefixes end with a slash, so only a beginning of the path that ends with one can match. Tries the longest
     // first.
-    const std::string_view path = target.substr(0, target.find('?'));
+    const std::string_view path = pathAndQuery.substr(0, pathAndQuery.find('?'));
     std::size_t slash = path.rfind('/');
     while (slash != std::string_view::npos) {
         const auto found = routes->second.find(std::string(path.substr(0, slash + 1)));
--- a/sequoiausher/coordination/gateway/routetable.h
+++ b/sequoiausher/coordination/gateway/routetable.h
@@ -26,9 +26,9 @@
     const GatewayConfiguration &configuration() const;
     /**
      * Finds the route of the host with the longest prefix of the path; nullptr where no route matches.
-     * @param host in any case, with or without a port. @param target path and query.
+     * @param host in any case, with or without a port. @param pathAndQuery path and query.
      */
-    const GatewayRoute *find(std::string_view host, std::string_view target) const;
+    const GatewayRoute *find(std::string_view host, std::string_view pathAndQuery) const;
     /** The organisation that owns the key; nullptr where none does. */
     const GatewayOrganisation *organisationOf(std::string_view key) const;
     /** Whether requests on routes that are not public need a key. */
--- a/sequoiausher/coordination/gateway/storeposition.h
+++ b/sequoiausher/coordination/gateway/storeposition.h
@@ -6,7 +6,7 @@
 // revisions.
 //
 //     const Revision position = storePosition(era, revision);
-//     watch(revisionIn(position));
+//     watch(revisionOf(position));
 
 #include "sequoiausher/base/identifiers.h"
 
@@ -26,7 +26,7 @@
     return position >> revisionBits;
 }
 
-constexpr Revision revisionIn(Revision position)
+constexpr Revision revisionOf(Revision position)
 {
     return position & maxRevision;
 }
--- a/sequoiausher/coordination/gateway/targetboard.cpp
+++ b/sequoiausher/coordination/gateway/targetboard.cpp
@@ -36,9 +36,9 @@
 /** Expected loads are accurate to about one request, so smaller differences count as equal. */
 constexpr double equalLoadTolerance = 0.7;
 /** The weight of one round in the moving average of a target's load, which covers about five rounds. */
-constexpr double averageLoadWeight = 0.2;
+constexpr double roundLoadWeight = 0.2;
 /** The share of the moving average in the smoothed load of a target. */
-constexpr double averageLoadFraction = 0.7;
+constexpr double averageShareOfSmoothedLoad = 0.7;
 /** A part with fewer holders need not be hot: chance and failures also give a part a second target. */
 constexpr std::size_t minHoldersOfHotPart = 3;
 /**
@@ -158,7 +158,7 @@
         if (current - average > chanceLoadDeviations * std::sqrt(std::max(average, 1.0))) {
             return inFlight(target);
         }
-        return static_cast<std::uint32_t>(std::lround(current + (average - current) * averageLoadFraction));
+        return static_cast<std::uint32_t>(std::lround(current + (average - current) * averageShareOfSmoothedLoad));
     }
 
     /**
@@ -511,15 +511,15 @@
         state.sentSinceReport = 0;
         const double current = Private::inFlight(state);
         const double before = state.averageLoad.value_or(current);
-        state.averageLoad = before + (current - before) * averageLoadWeight;
+        state.averageLoad = before + (current - before) * roundLoadWeight;
     }
 }
 
-std::vector<GatewayLoad> TargetBoard::loads(const std::vector<InstanceId> &without, Millis now)
+std::vector<GatewayLoad> TargetBoard::loads(const std::vector<InstanceId> &excludedPeers, Millis now)
 {
     this->d->expire(now);
     std::vector<const PeerLoads *> leftOut;
-    for (const InstanceId &peer : without) {
+    for (const InstanceId &peer : excludedPeers) {
         const auto found = this->d->peers.find(peer);
         if (found != this->d->peers.end()) {
             leftOut.push_back(&found->second);
--- a/sequoiausher/coordination/gateway/targetboard.h
+++ b/sequoiausher/coordination/gateway/targetboard.h
@@ -59,8 +59,8 @@
     GatewayTarget target;
     std::uint32_t inFlight = 0;
     /** Requests in flight at all targets of the service. */
-    std::uint64_t total = 0;
-    std::size_t usable = 0;
+    std::uint64_t totalInFlight = 0;
+    std::size_t usableTargetCount = 0;
 };
 
 /** Loads and health of all targets. Not thread-safe. */
@@ -115,7 +115,7 @@
     /** The requests that this gateway has in flight. */
     std::vector<GatewayLoad> ownLoads(Millis now) const;
     /** The requests in flight of this gateway and of all peers but those given. */
-    std::vector<GatewayLoad> loads(const std::vector<InstanceId> &without, Millis now);
+    std::vector<GatewayLoad> loads(const std::vector<InstanceId> &excludedPeers, Millis now);
     /**
      * Whether the platform lists another incarnation under the target's name, so requests sent to this one are lost.
      */
--- a/sequoiausher/coordination/gateway/targetboardtest.cpp
+++ b/sequoiausher/coordination/gateway/targetboardtest.cpp
@@ -57,8 +57,8 @@
 {
     constexpr std::size_t gatewayCount = 7;
     constexpr int stepMs = 8;
-    constexpr int lifeSteps = 75;
-    constexpr int reportSteps = 37;
+    constexpr int requestDurationSteps = 75;
+    constexpr int stepsPerReport = 37;
     std::vector<std::unique_ptr<TargetBoard>> gateways;
     for (std::uint64_t i = 0; i < gatewayCount; ++i) {
         gateways.push_back(std::make_unique<TargetBoard>(i));
@@ -71,7 +71,7 @@
     std::mt19937 random(1);
     for (int step = 0; step < 4000; ++step) {
         const Millis now{step * stepMs};
-        if (running.size() >= lifeSteps) {
+        if (running.size() >= requestDurationSteps) {
             const auto [by, target] = running.front();
             running.pop_front();
             gateways[by]->recordEnd(target, TargetOutcome::Answered, now);
@@ -90,7 +90,7 @@
             window.pop_front();
         }
         CHECK(std::count(window.begin(), window.end(), true) < 20);
-        if (step % reportSteps == 0) {
+        if (step % stepsPerReport == 0) {
             for (std::size_t from = 0; from < gatewayCount; ++from) {
                 const std::vector<GatewayLoad> loads = gateways[from]->ownLoads(now);
                 gateways[from]->beginRound();
@@ -172,7 +172,7 @@
 {
     GatewayTarget target = twelveTargets().front();
     target.bornAt = Millis{bornAt};
-    target.id = targetLife(target.id, target.bornAt);
+    target.id = incarnationId(target.id, target.bornAt);
     return {target};
 }
 
@@ -208,7 +208,7 @@
     REQUIRE(chosen);
     CHECK(chosen->target == after);
     CHECK(chosen->inFlight == 0);
-    CHECK(chosen->total == 0);
+    CHECK(chosen->totalInFlight == 0);
     // A part that the old incarnation had read has no holder and no copy source.
     TargetCriteria criteria = criteriaFor(1);
     criteria.holders = {before.id};
@@ -247,7 +247,7 @@
     board.setTargets(targets, Millis{5000});
     CHECK_FALSE(isChosen(leaving, Millis{5010}));
     targets[0].bornAt = Millis{5500};
-    targets[0].id = targetLife(leaving, targets[0].bornAt);
+    targets[0].id = incarnationId(leaving, targets[0].bornAt);
     board.setTargets(targets, Millis{6000});
     CHECK(isChosen(targets[0].id, Millis{6010}));
 }
--- a/sequoiausher/coordination/gateway/targethealthscore.cpp
+++ b/sequoiausher/coordination/gateway/targethealthscore.cpp
@@ -11,7 +11,7 @@
 /** Plain services fail one request in seven when nothing is wrong; a failure rate above this one has another cause. */
 constexpr double ejectionFailureRate = 0.55;
 /** Two consecutive requests without an answer are no coincidence: normally fewer than 1 in 1000 requests gets none. */
-constexpr std::uint32_t ejectionFailureCount = 2;
+constexpr std::uint32_t ejectionHeavyFailureCount = 2;
 /**
  * The first ejection is long enough for a restart. Each further ejection lasts twice as long, up to a maximum after
  * which a recovered target's capacity is missed.
@@ -26,7 +26,7 @@
 void TargetHealthScore::recordSuccess(Millis now)
 {
     this->failureRate -= this->failureRate * outcomeWeight;
-    this->consecutiveFailures = 0;
+    this->heavyFailuresSinceSuccess = 0;
     this->ejections = 0;
     this->ejectedUntil = std::min(this->ejectedUntil, now);
 }
@@ -35,9 +35,9 @@
 {
     this->failureRate += (1 - this->failureRate) * outcomeWeight;
     if (weight == FailureWeight::Heavy) {
-        this->consecutiveFailures += 1;
+        this->heavyFailuresSinceSuccess += 1;
     }
-    if (this->consecutiveFailures >= ejectionFailureCount || this->failureRate > ejectionFailureRate) {
+    if (this->heavyFailuresSinceSuccess >= ejectionHeavyFailureCount || this->failureRate > ejectionFailureRate) {
         this->eject(now);
     }
 }
@@ -45,7 +45,7 @@
 void TargetHealthScore::recordPeerSuspicion(Millis now)
 {
     // This gateway's own good answers override the peer's suspicion: the fault may lie between the peer and the target.
-    if (this->consecutiveFailures > 0 || this->failureRate > ejectionFailureRate / 2) {
+    if (this->heavyFailuresSinceSuccess > 0 || this->failureRate > ejectionFailureRate / 2) {
         this->ejectedUntil = std::max(this->ejectedUntil, now + peerSuspicionTtl);
     }
 }
--- a/sequoiausher/coordination/gateway/targethealthscore.h
+++ b/sequoiausher/coordination/gateway/targethealthscore.h
@@ -37,7 +37,7 @@
     void eject(Millis now);
 
     double failureRate = 0;
-    std::uint32_t consecutiveFailures = 0;
+    std::uint32_t heavyFailuresSinceSuccess = 0;
     std::uint32_t ejections = 0;
     Millis ejectedUntil;
 };
--- a/sequoiausher/coordination/gateway/targetlist.cpp
+++ b/sequoiausher/coordination/gateway/targetlist.cpp
@@ -46,11 +46,11 @@
     }
     this->missingEntryCount -= entry.missingSince ? 1 : 0;
     entry.missingSince.reset();
-    entry.removedAt = 0;
+    entry.removedRevision = 0;
     const GatewayTarget written = withKnownIncarnation(target, entry.target);
-    if (entry.changedAt == 0 || !(entry.target == written)) {
+    if (entry.changedRevision == 0 || !(entry.target == written)) {
         entry.target = written;
-        entry.changedAt = at;
+        entry.changedRevision = at;
         this->lastChange = std::max(this->lastChange, at);
     }
 }
@@ -62,15 +62,15 @@
         = [&target](Millis born) { return target.bornAt == Millis{0} || target.bornAt <= born; };
     const auto goneTarget = this->gone.find(name);
     if (goneTarget != this->gone.end()) {
-        return eraOf(at) > eraOf(goneTarget->second.at) && isOfIncarnationUpTo(goneTarget->second.bornAt);
+        return eraOf(at) > eraOf(goneTarget->second.removedRevision) && isOfIncarnationUpTo(goneTarget->second.bornAt);
     }
     const auto entry = this->entries.find(name);
     if (entry == this->entries.end() || !isOfIncarnationUpTo(entry->second.target.bornAt)) {
         return false;
     }
-    const bool isRemoved = entry->second.removedAt != 0 && eraOf(at) > eraOf(entry->second.removedAt);
+    const bool isRemoved = entry->second.removedRevision != 0 && eraOf(at) > eraOf(entry->second.removedRevision);
     return isRemoved
-        || (entry->second.target.isLeaving && !target.isLeaving && eraOf(at) > eraOf(entry->second.changedAt));
+        || (entry->second.target.isLeaving && !target.isLeaving && eraOf(at) > eraOf(entry->second.changedRevision));
 }
 
 void TargetList::erase(std::map<TargetId, Entry>::iterator entry, Revision at)
@@ -105,7 +105,7 @@
     for (const auto &entry : this->writeAll(targets, at)) {
         this->removeOrKeep(entry, at, now);
     }
-    this->noteReturn(at);
+    this->noteFirstAnswerAfterReturn(at);
     this->setCompleteUpTo(at);
 }
 
@@ -132,7 +132,7 @@
     if (this->isOutdated(at)) {
         return;
     }
-    this->noteReturn(at);
+    this->noteFirstAnswerAfterReturn(at);
     this->write(target, at);
     this->completeRevision = at;
 }
@@ -144,7 +144,7 @@
     }
     const auto entry = this->entries.find(name);
     // All changes of one answer of the store have the same revision.
-    this->noteReturn(at);
+    this->noteFirstAnswerAfterReturn(at);
     if (entry != this->entries.end()) {
         this->removeOrKeep(entry, at, now);
     } else {
@@ -169,14 +169,14 @@
 void TargetList::removeOrKeep(std::map<TargetId, Entry>::iterator entry, Revision at, Millis now)
 {
     // A target that announced that it leaves is gone, whatever happened to the store.
-    if (entry->second.target.isLeaving || this->isGraceOver(now)) {
+    if (entry->second.target.isLeaving || this->removesAtOnce(now)) {
         this->erase(entry, at);
     } else if (!entry->second.missingSince) {
         entry->second.missingSince = now;
-        entry->second.removedAt = this->isAfterReturn(at) ? at : 0;
+        entry->second.removedRevision = this->isAfterReturn(at) ? at : 0;
         const Millis settled = this->returnedAt ? *this->returnedAt + expiredEntryGrace : Millis::never();
         entry->second.keptUntil = this->lostAt ? Millis::never() : settled;
-        if (entry->second.removedAt != 0) {
+        if (entry->second.removedRevision != 0) {
             entry->second.keptUntil = std::min(settled, now + this->leaveBound / lateRemovalBoundDivisor);
         }
         this->missingEntryCount += 1;
@@ -188,7 +188,7 @@
     return !this->lostAt && this->returnedAt && this->revisionOnReturn != 0 && at > this->revisionOnReturn;
 }
 
-void TargetList::noteReturn(Revision at)
+void TargetList::noteFirstAnswerAfterReturn(Revision at)
 {
     if (this->returnedAt && this->revisionOnReturn == 0) {
         this->revisionOnReturn = at;
@@ -202,13 +202,14 @@
     if (this->gone.size() <= maxGoneTargets) {
         return;
     }
-    const auto oldest = std::min_element(
-        this->gone.begin(), this->gone.end(), [](const auto &a, const auto &b) { return a.second.at < b.second.at; });
-    this->goneCompleteSince = oldest->second.at + 1;
+    const auto oldest = std::min_element(this->gone.begin(), this->gone.end(), [](const auto &a, const auto &b) {
+        return a.second.removedRevision < b.second.removedRevision;
+    });
+    this->goneCompleteSince = oldest->second.removedRevision + 1;
     this->gone.erase(oldest);
 }
 
-bool TargetList::isGraceOver(Millis now) const
+bool TargetList::removesAtOnce(Millis now) const
 {
     if (this->lostAt) {
         return now < *this->lostAt + minStoreOutage;
@@ -231,12 +232,12 @@
     }
     TargetChanges changes{from, this->completeRevision, {}, {}};
     for (const auto &[name, entry] : this->entries) {
-        if (entry.changedAt > from) {
+        if (entry.changedRevision > from) {
             changes.written.push_back(entry.target);
         }
     }
     for (const auto &[name, goneTarget] : this->gone) {
-        if (goneTarget.at >= from) {
+        if (goneTarget.removedRevision >= from) {
             changes.gone.push_back(name);
         }
     }
@@ -269,7 +270,7 @@
     return this->hasMissing() ? oldRevision : this->completeRevision;
 }
 
-Revision TargetList::changedAt() const
+Revision TargetList::lastChangeRevision() const
 {
     return this->lastChange;
 }
@@ -297,7 +298,7 @@
     this->returnedAt = now;
     this->revisionOnReturn = 0;
     for (auto &[name, entry] : this->entries) {
-        if (entry.removedAt == 0) {
+        if (entry.removedRevision == 0) {
             entry.keptUntil = now + expiredEntryGrace;
         }
     }
@@ -328,7 +329,7 @@
 bool TargetList::isSettled(Millis now) const
 {
     const bool isPastStartupGrace = this->firstFullReadAt && now >= *this->firstFullReadAt + expiredEntryGrace;
-    return isPastStartupGrace && !this->lostAt && this->isGraceOver(now) && !this->hasMissing();
+    return isPastStartupGrace && !this->lostAt && this->removesAtOnce(now) && !this->hasMissing();
 }
 
 bool TargetList::tick(Millis now)
--- a/sequoiausher/coordination/gateway/targetlist.h
+++ b/sequoiausher/coordination/gateway/targetlist.h
@@ -100,7 +100,7 @@
      */
     Revision shareableRevision() const;
     /** The revision at which an entry was last written or removed. */
-    Revision changedAt() const;
+    Revision lastChangeRevision() const;
     /** When tick() last removed missing entries. */
     Millis lastExpiryAt() const;
 
@@ -146,19 +146,19 @@
          * The store's revision at which the entry was removed while the store was available; 0 where it may have
          * expired.
          */
-        Revision removedAt = 0;
+        Revision removedRevision = 0;
         /** The store's revision at which this value was learnt. */
-        Revision changedAt = 0;
+        Revision changedRevision = 0;
     };
     struct Gone
     {
-        Revision at = 0;
+        Revision removedRevision = 0;
         Millis bornAt;
     };
 
     /** Starts the time in which missing entries may come back. */
     void beginGrace(Millis now);
-    bool isGraceOver(Millis now) const;
+    bool removesAtOnce(Millis now) const;
     /**
      * Whether a removal at that revision came after the store's return, so that the entry cannot have expired before.
      */
@@ -173,7 +173,7 @@
     std::vector<std::map<TargetId, Entry>::iterator> writeAll(const std::vector<GatewayTarget> &targets, Revision at);
     void erase(std::map<TargetId, Entry>::iterator entry, Revision at);
     /** Records an answer of the store that is complete up to at. The first one after its return covers the outage. */
-    void noteReturn(Revision at);
+    void noteFirstAnswerAfterReturn(Revision at);
     void removeOrKeep(std::map<TargetId, Entry>::iterator entry, Revision at, Millis now);
     void noteGone(const TargetId &name, Revision at, Millis bornAt);
     /** Sets the list complete up to at, without the changes in between. */
--- a/sequoiausher/coordination/gateway/targetlisttest.cpp
+++ b/sequoiausher/coordination/gateway/targetlisttest.cpp
@@ -267,7 +267,7 @@
 {
     GatewayTarget target = targetOf(name, leaving);
     target.bornAt = Millis{bornAt};
-    target.id = targetLife(TargetId{name}, target.bornAt);
+    target.id = incarnationId(TargetId{name}, target.bornAt);
     return target;
 }
 
@@ -526,7 +526,7 @@
 
     void watch()
     {
-        const auto first = this->events.upper_bound(revisionIn(this->reader.revision()));
+        const auto first = this->events.upper_bound(revisionOf(this->reader.revision()));
         for (auto event = first; event != this->events.end(); ++event) {
             const auto found = this->content.find(event->second);
             if (found == this->content.end()) {
--- a/sequoiausher/protocol/gateway/targetstext.cpp
+++ b/sequoiausher/protocol/gateway/targetstext.cpp
@@ -24,7 +24,7 @@
     target.slots = static_cast<std::uint32_t>(section.integer("slots", {0, mostSlots, "requests"}).value_or(1));
     target.isLeaving = section.integer("leaving", {0, 1, ""}).value_or(0) != 0;
     target.bornAt = Millis{section.integer("born_ms", {0, latestBirth, "ms"}).value_or(0)};
-    if (!target.id.value.ends_with(targetLife({}, target.bornAt).value)) {
+    if (!target.id.value.ends_with(incarnationId({}, target.bornAt).value)) {
         throw Error(Step::Decode, target.id.value, "the id is not of the life that began at born_ms");
     }
     section.finish();
--- a/sequoiausher/protocol/gateway/targetstexttest.cpp
+++ b/sequoiausher/protocol/gateway/targetstexttest.cpp
@@ -17,7 +17,7 @@
         {TargetId{"an id/with:marks;and=#these"}, PoolId{"a service"}, "10.0.0.1:80", DataCentreId{}, 6, false}};
     CHECK(parseTargetsText(toText(odd), "p") == odd);
     CHECK_THROWS_AS(parseTargetsText("[target a]\naddress = x\n", "p"), ProblemsError);
-    const TargetId life = targetLife(TargetId{"i-7f3a"}, Millis{1764700000000});
+    const TargetId life = incarnationId(TargetId{"i-7f3a"}, Millis{1764700000000});
     const std::vector<GatewayTarget> reborn{
         {life, PoolId{"desk"}, "10.0.0.1:80", DataCentreId{}, 6, false, Millis{1764700000000}}};
     CHECK(parseTargetsText(toText(reborn), "p") == reborn);
--- a/sequoiausher/transport/gateway/gatewayadmission.cpp
+++ b/sequoiausher/transport/gateway/gatewayadmission.cpp
@@ -152,7 +152,7 @@
     }
     this->admitted.parts = PromptParts(hashes);
     this->admitted.partHash
-        = this->admitted.parts.empty() ? hash64(this->admitted.request.attemptId) : this->admitted.parts.last();
+        = this->admitted.parts.empty() ? hash64(this->admitted.request.attemptId) : this->admitted.parts.lastShared();
     const std::optional<Decision> decided = this->context.rules->decide(this->facts());
     this->admitted.labels = {this->admitted.organisation, this->admitted.requestClass, {}, {}};
     if (!decided) {
--- a/sequoiausher/transport/gateway/gatewayknowledge.cpp
+++ b/sequoiausher/transport/gateway/gatewayknowledge.cpp
@@ -143,7 +143,7 @@
                                {"targets_kept", std::to_string(targets.size())},
                                {"leaving_kept", std::to_string(leaving)},
                                {"unproven_until_revision", std::to_string(newest)}});
-    this->restored.recordReturn(newest, now);
+    this->restored.recordRestore(newest, now);
     this->known.targets.storeRestored(now);
 }
 
@@ -181,7 +181,7 @@
             this->install(stored.raw, std::move(configuration), "store");
         }
     }
-    const bool proves = this->restored.provesNothingNewer(this->readRevision, stored.changedAt, Millis::monotonicNow());
+    const bool proves = this->restored.provesNewest(this->readRevision, stored.changedAt, Millis::monotonicNow());
     if (readAt && proves) {
         this->context.freshness.proven(this->readRevision, *readAt);
     }
@@ -224,7 +224,7 @@
                            {{"why", std::string(why)},
                             {"count", std::to_string(targets.size())},
                             {"leaving", std::to_string(leaving)},
-                            {"revision", std::to_string(revisionIn(this->known.targets.revision()))}});
+                            {"revision", std::to_string(revisionOf(this->known.targets.revision()))}});
     this->user.knowledgeGrew();
 }
 
--- a/sequoiausher/transport/gateway/gatewaypeers.cpp
+++ b/sequoiausher/transport/gateway/gatewaypeers.cpp
@@ -211,7 +211,7 @@
     report.proofAge = this->context.proofAge(now);
     // Who keeps entries that may be gone cannot vouch for the list: others then read the store themselves.
     report.storeAge = this->known.targets.hasMissing() ? Millis::never() : this->context.duty.knowledgeAge(now);
-    report.targets = revisionIn(this->known.targets.revision());
+    report.targets = revisionOf(this->known.targets.revision());
     report.storeEra = eraOf(this->known.targets.revision());
     report.leaving = this->context.isStopping;
     report.isHub = directory.isHub(now);
@@ -220,7 +220,7 @@
     report.isSettled = !report.isResting && this->known.targets.isSettled(now);
     report.strength = strengthOf(this->context.settings);
     report.dataCentre = this->context.settings.dataCentre;
-    const bool isToHub = directory.isHub(peer);
+    const bool isToHub = directory.statedHub(peer);
     const UpdateScope scope = !report.isHub ? UpdateScope::Own : isToHub ? UpdateScope::Group : UpdateScope::All;
     report.crashes = this->context.quarantine.newsFor(peer, scope, now);
     report.placements = this->context.parts.takeUpdates(peer, scope);
@@ -230,7 +230,7 @@
         return report;
     }
     // Hubs hear of each other's gateways from each other; a gateway hears of all others from its hub.
-    std::vector<InstanceId> without = isToHub ? directory.hubPeers() : std::vector<InstanceId>();
+    std::vector<InstanceId> without = isToHub ? directory.statedHubs() : std::vector<InstanceId>();
     without.push_back(peer);
     report.loads = this->context.board.loads(without, now);
     if (report.echo == Millis{0} || this->round % membersEvery == 0) {
@@ -319,9 +319,9 @@
 void GatewayPeers::Private::noteChanges(Millis now)
 {
     constexpr std::size_t mostChanges = 64;
-    const Revision changedAt = this->known.targets.changedAt();
-    if (this->learnt.empty() || this->learnt.back().revision != changedAt) {
-        this->learnt.push_back({changedAt, now});
+    const Revision lastChange = this->known.targets.lastChangeRevision();
+    if (this->learnt.empty() || this->learnt.back().revision != lastChange) {
+        this->learnt.push_back({lastChange, now});
     }
     if (this->learnt.size() > mostChanges) {
         this->learnt.pop_front();
@@ -339,7 +339,7 @@
 {
     const TargetList &list = this->known.targets;
     const Millis toldAt = this->pushed[{peer, targetChangesDocument}].at;
-    const bool isBehind = has < list.changedAt();
+    const bool isBehind = has < list.lastChangeRevision();
     // Entries that did not come back after an outage go without a change in the store.
     const bool lacksLetGo = has == list.revision() && list.lastExpiryAt() > toldAt;
     // An entry that is only kept since it may come back must not be taken for one of the present revision.
@@ -363,11 +363,11 @@
         const std::optional<TargetChanges> changes = list.findChangesSince(has);
         // Changes never lead from one era into another.
         const std::string text = changes
-            ? toText({revisionIn(changes->from), revisionIn(changes->to), changes->written, changes->gone})
+            ? toText({revisionOf(changes->from), revisionOf(changes->to), changes->written, changes->gone})
             : toText(list.targets());
         const Revision at = list.shareableRevision();
         entry->second
-            = {changes ? targetChangesDocument : targetsDocument, revisionIn(at), packed(text), false, eraOf(at)};
+            = {changes ? targetChangesDocument : targetsDocument, revisionOf(at), packed(text), false, eraOf(at)};
     }
     return entry->second;
 }
--- a/sequoiausher/transport/gateway/storewatcher.cpp
+++ b/sequoiausher/transport/gateway/storewatcher.cpp
@@ -166,7 +166,7 @@
     this->log.info(LogPart::Platform,
                    "gave up a call that should have told of a change",
                    {{"took_ms", std::to_string((now - this->changes.begunAt).count)},
-                    {"heard_up_to", std::to_string(revisionIn(this->watchedFrom))}});
+                    {"heard_up_to", std::to_string(revisionOf(this->watchedFrom))}});
     this->changes.calls.cancel();
     this->changes.nextAt = now;
     this->patience.gaveUp();
@@ -393,7 +393,7 @@
     const Millis wait = this->times.watchTime;
     this->get(this->changes,
               StoreCallReason::Watch,
-              this->dialect.watchCall(revisionIn(this->watchedFrom), wait),
+              this->dialect.watchCall(revisionOf(this->watchedFrom), wait),
               wait + this->times.watchDelay,
               [this, wait](const StoreAnswer &answer) { this->watched(answer, wait); });
 }
@@ -403,7 +403,7 @@
     if (this->dialect.isHistoryGone(answer.status)) {
         this->log.info(LogPart::Platform,
                        "the store's history is gone, reading all again",
-                       {{"after", std::to_string(revisionIn(this->watchedFrom))}});
+                       {{"after", std::to_string(revisionOf(this->watchedFrom))}});
         this->succeeded(this->changes);
         this->watchedFrom = 0;
         this->mustProve = true;
