--- a/sequoiausher/coordination/gateway/gatewayconfiguration.h
+++ b/sequoiausher/coordination/gateway/gatewayconfiguration.h
@@ -24,7 +24,9 @@
     Idempotent,
     /** The request runs at most once for each attempt of the caller. */
     AtMostOnce,
-    /** The answer is a stream of events; the request runs at most once unless the route allows to resume streams. */
+    /**
+     * The answer is a stream of events; the request runs at most once unless the route allows streams to be resumed.
+     */
     Stream,
 };
 
@@ -147,10 +149,10 @@
 };
 
 /**
- * Returns the id of one incarnation of the target that the platform lists as name. A target that restarts under its
- * name has none of its earlier state. If both incarnations had one id, the old cache, load, health and connections
- * would be attributed to the new one, and requests would be sent there because of prompts that it never read. With an
- * id for each incarnation, reports about an earlier one, whether from peers or late, match no target.
+ * Returns the id of one incarnation of the target that the platform lists under the given name. A target that restarts
+ * under its name has none of its earlier state. If both incarnations had one id, the old cache, load, health and
+ * connections would be attributed to the new one, and requests would be sent there because of prompts that it never
+ * read. With an id for each incarnation, reports about an earlier one, whether from peers or late, match no target.
  */
 inline TargetId incarnationId(const TargetId &name, Millis bornAt)
 {
--- a/sequoiausher/coordination/gateway/peerdirectory.cpp
+++ b/sequoiausher/coordination/gateway/peerdirectory.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-/** A gateway that was heard of within this time is a live member. */
+/** A gateway that was seen within this time is a live member. */
 constexpr Millis memberTtl{5000};
-/** A gateway that was not heard of for this long is forgotten, since machines are replaced under other addresses. */
+/** A gateway that was not seen for this long is forgotten, since machines are replaced under other addresses. */
 constexpr Millis peerTtl{60000};
 /** Up to this many gateways all report to all; with more, 200 reports a second would be sent and received. */
 constexpr std::size_t maxFleetWithoutHubs = 10;
@@ -43,7 +43,7 @@
 public:
     struct PeerRecord
     {
-        /** When any gateway last heard from the peer. */
+        /** When any gateway last received a report from the peer. */
         Millis lastSeenAt;
         Millis newestSentAt;
         bool isHub = false;
@@ -140,7 +140,7 @@
         return found != this->known.end() && found->second.dataCentre == this->dataCentre;
     }
 
-    /** Whether to return to a hub of the own data centre after a hub of another one has stood in. */
+    /** Whether this gateway uses a hub of another data centre and should try one of its own again. */
     bool shouldReturnToOwnDataCentre(const std::vector<InstanceId> &all) const
     {
         return this->roundsAtHub >= maxRoundsAtRemoteHub && !this->isInOwnDataCentre(this->hub)
@@ -149,7 +149,7 @@
                });
     }
 
-    /** Returns the hub to use when the current one does not answer. */
+    /** Returns the hub to use after the current one. */
     const InstanceId &nextHub(const std::vector<InstanceId> &all) const
     {
         std::vector<const InstanceId *> ownDataCentreHubs;
--- a/sequoiausher/coordination/gateway/peerdirectory.h
+++ b/sequoiausher/coordination/gateway/peerdirectory.h
@@ -40,12 +40,15 @@
 class PeerDirectory
 {
 public:
-    /** @param hubOrderSeed for the order in which this gateway prefers hubs. */
+    /** @param hubOrderSeed determines the order in which this gateway prefers hubs. */
     PeerDirectory(InstanceId self, const std::vector<InstanceId> &seeds, std::uint64_t hubOrderSeed);
     ~PeerDirectory();
 
     void setSeeds(const std::vector<InstanceId> &seeds);
-    /** Sets this gateway's capacity for other work than its callers' requests, and its data centre. */
+    /**
+     * Sets this gateway's strength, which is its capacity for other work than its callers' requests, and its data
+     * centre.
+     */
     void setSelf(std::uint16_t strength, const DataCentreId &dataCentre);
     /** Records a report from a peer. */
     void recordReport(const InstanceId &peer, const GatewayReport &report, Millis now);
@@ -54,7 +57,8 @@
     std::vector<DueReport> takeDueReports(Millis now);
     /**
      * Whether the report must be answered at once: either it asks for a reply, or its sender knows too few gateways to
-     * determine the size of the fleet, and so reports to all gateways it knows or considers itself a hub.
+     * determine the size of the fleet, and so reports to all gateways it knows or considers itself a hub. A reply is
+     * never answered.
      */
     bool mustReply(const InstanceId &peer, const GatewayReport &report, Millis now) const;
     /** Whether the fleet is large enough for hubs. */
@@ -70,15 +74,15 @@
     /** The peers whose last report stated that they are hubs. */
     std::vector<InstanceId> statedHubs() const;
 
-    /** The peers that reports may be sent to: the seeds and all gateways that were heard of recently. */
+    /** The peers that reports may be sent to: the seeds and all gateways that were seen recently. */
     std::vector<InstanceId> peers() const;
     bool hasPeers() const;
-    /** The gateways that were heard of within a few seconds, without this gateway. */
+    /** The gateways that were seen within a few seconds, without this gateway. */
     std::vector<GatewayMember> members(Millis now) const;
     /**
-     * The maximum number of gateways in the fleet, for shares of fleet-wide limits. Gateways that were heard of within
-     * a minute count, because a gateway that is cut off may still be running. Before the first report there may be
-     * many.
+     * The maximum number of gateways in the fleet, for shares of fleet-wide limits. Gateways that were seen within a
+     * minute count, because a gateway that is cut off may still be running. Before the first report at least 12
+     * gateways are assumed.
      */
     std::size_t fleetSize(Millis now) const;
     /** sentAt of the newest report from the peer; 0 for none. */
--- a/sequoiausher/coordination/gateway/peerdirectorytest.cpp
+++ b/sequoiausher/coordination/gateway/peerdirectorytest.cpp
@@ -179,7 +179,7 @@
     }
 }
 
-TEST_CASE("a silent gateway soon is no member, and is forgotten after a minute")
+TEST_CASE("a silent gateway is no member after a few seconds, and is forgotten after a minute")
 {
     PeerDirectory directory(nameOf(0), {nameOf(1)}, 1);
     CHECK(directory.fleetSize(Millis{0}) == 12);
--- a/sequoiausher/coordination/gateway/prefixdirectory.h
+++ b/sequoiausher/coordination/gateway/prefixdirectory.h
@@ -20,13 +20,16 @@
 
 namespace Sequoiausher {
 
-/** The gateways to which an update from a peer is passed on. */
+/** How widely an update is passed on. A peer that takes updates of a scope also gets those of the scopes before it. */
 enum class UpdateScope {
-    /** To none: its sender has sent it to all gateways. */
+    /**
+     * Updates of this gateway itself. A peer's update of this scope is not passed on, since its sender has sent it to
+     * all gateways.
+     */
     Own,
-    /** A hub passes updates of its own gateways on to the other hubs. */
+    /** Updates that a hub got from its own gateways; it passes them on to the other hubs too. */
     Group,
-    /** A hub passes all updates on to its gateways. */
+    /** Updates that a hub got from other hubs; it passes them on only to its own gateways. */
     All,
 };
 
@@ -53,15 +56,15 @@
     /** Records that this gateway sends a request with the part to the target. */
     void recordSent(std::uint64_t part, const TargetId &target, Millis now);
     /**
-     * Records that a peer sent a request with the part to the target. @param scope the gateways to which a hub passes
-     * it on.
+     * Records that a peer sent a request with the part to the target. @param scope how widely this placement is passed
+     * on.
      */
     void recordPeerPlacement(const InstanceId &peer,
                              std::uint64_t part,
                              const TargetId &target,
                              Millis now,
                              UpdateScope scope);
-    /** Records that the target could not read the part. */
+    /** Records that the part could not be read at the target. */
     void removeHolder(std::uint64_t part, const TargetId &target);
 
     /** The targets that hold the part, the earliest holder first, so that all gateways prefer the same one. */
--- a/sequoiausher/coordination/gateway/promptparts.h
+++ b/sequoiausher/coordination/gateway/promptparts.h
@@ -35,9 +35,9 @@
     /** The targets that hold the last shared part. */
     std::vector<TargetId> holders(const PrefixDirectory &directory, Millis now) const;
     /**
-     * Finds a sound target from which the target "to" should copy the longest beginning of the prompt that any target
-     * holds. None if "to" holds that beginning itself, or if no target does. Copying a part of 1,000 tokens takes about
-     * a millisecond, whereas reading it takes 18.
+     * Finds a sound target from which the target "to" should copy the longest beginning of the prompt that any sound
+     * target holds (see TargetBoard::findCopySource). None if "to" holds that beginning or a longer one itself, or if
+     * there is no such target. Copying a part of 1,000 tokens takes about a millisecond, whereas reading it takes 18.
      */
     std::optional<GatewayTarget>
     findCopySource(const PrefixDirectory &directory, TargetBoard &board, const TargetId &to, Millis now) const;
--- a/sequoiausher/coordination/gateway/promptpartstest.cpp
+++ b/sequoiausher/coordination/gateway/promptpartstest.cpp
@@ -85,7 +85,8 @@
     }
 }
 
-TEST_CASE("few holders of a widely used part are remembered, but all that the directory takes for the last part")
+TEST_CASE(
+    "three holders of an earlier part are remembered, and as many of the last shared part as the directory allows")
 {
     Fleet fleet;
     for (std::uint64_t i = 0; i < 5; ++i) {
--- a/sequoiausher/coordination/gateway/routetable.h
+++ b/sequoiausher/coordination/gateway/routetable.h
@@ -26,7 +26,7 @@
     const GatewayConfiguration &configuration() const;
     /**
      * Finds the route of the host with the longest prefix of the path; nullptr where no route matches.
-     * @param host in any case, with or without a port. @param pathAndQuery path and query.
+     * @param host in any case, with or without a port.
      */
     const GatewayRoute *find(std::string_view host, std::string_view pathAndQuery) const;
     /** The organisation that owns the key; nullptr where none does. */
--- a/sequoiausher/coordination/gateway/storeduty.cpp
+++ b/sequoiausher/coordination/gateway/storeduty.cpp
@@ -25,11 +25,15 @@
 constexpr std::int64_t leaveBoundDivisor = 5;
 /** The first hub's knowledge is younger than the leave bound divided by this. */
 constexpr std::int64_t firstHubProofDivisor = 8;
-/** A gateway that follows its peers requests a proof after two fifths of the time in which a proof opens routes. */
+/**
+ * A gateway that follows its peers requests a proof after two fifths of the time for which keys are accepted on a
+ * proof.
+ */
 constexpr std::int64_t followerProofNumerator = 2;
 constexpr std::int64_t followerProofDenominator = 5;
 /** All gateways together should call a store that does not answer about ten times a second. */
 constexpr Millis storePausePerGateway{100};
+/** The minimum time over which the gateways of a fleet spread their retries. */
 constexpr Millis minRetrySpread{1200};
 /**
  * The upper limit of a pause, since a gateway that is the only one to reach the store, or that has lost all peers, must
--- a/sequoiausher/coordination/gateway/storeduty.h
+++ b/sequoiausher/coordination/gateway/storeduty.h
@@ -10,7 +10,7 @@
 // the store itself: the second hub first, then the other hubs, then all gateways. There is no election: if two hubs
 // both consider themselves the first, both read.
 //
-// A report describes the state of the store. It counts as the age of this gateway's list of targets only once that list
+// A report describes the state of the store. The report counts for this gateway's list of targets only once that list
 // has reached the revision of the report.
 //
 //     StoreDuty duty(settings, seed);
@@ -31,11 +31,14 @@
 /** The time limits that reads of the store must meet. */
 struct StoreDutySettings
 {
-    /** How long after the store's update that a target leaves a gateway may still send requests to that target. */
+    /** How long after the store lists a target as leaving a gateway may still send requests to it. */
     Millis leaveBound{2000};
-    /** How long a key may open routes after its removal. */
+    /** How long requests with a key may still be accepted after the key's removal. */
     Millis keyFreshness{5000};
-    /** The age of the configuration's proof at which one gateway reads it again, where all gateways read the store. */
+    /**
+     * The maximum age of a gateway's proof that its configuration is up to date, in a fleet where all gateways read the
+     * store.
+     */
     Millis proofInterval{800};
 };
 
@@ -58,7 +61,7 @@
 /** The role of this gateway in the fleet, as this gateway sees it. */
 struct StoreRole
 {
-    /** This gateway has the names of other gateways. */
+    /** Other gateways are known. */
     bool hasPeers = false;
     bool hasHubs = false;
     /** This gateway's place in the order of the hubs, 0 first; absent where it is no hub. */
@@ -66,7 +69,10 @@
     std::size_t fleetSize = 1;
 };
 
-/** The longest pause between two failed calls, where no other gateway tries. */
+/**
+ * The longest pause between two failed calls of a hub, or of any gateway in a fleet without hubs. Other gateways pause
+ * at least as long.
+ */
 inline constexpr Millis baseStorePause{800};
 
 /** Decides for one gateway whether it reads the store. Not thread-safe. */
@@ -80,8 +86,8 @@
     /** Records an answer of the store with all targets as they were at that moment or later. */
     void recordStoreAnswer(Millis at);
     /**
-     * Records an answer of the store that it was at the revision at that moment or later. If the list has not reached
-     * that revision, the answer proves nothing until it has.
+     * Records an answer of the store which states that its revision was this one at that moment or later. If the list
+     * has not reached that revision, the answer proves nothing until it has.
      */
     void recordStoreRevision(Revision revision, Millis at);
     /** Records that the list of targets is complete up to that revision of the store, whatever its source. */
@@ -98,12 +104,16 @@
     Millis knowledgeAge(Millis now) const;
     /** Whether the knowledge is young enough to be reported to others. */
     bool mayShareKnowledge(Millis now) const;
-    /** The age of the configuration's proof at which this gateway reads it again. */
+    /** The age of the proof that the configuration is up to date at which this gateway requests a new one. */
     Millis maxProofAge(const StoreRole &role, Millis now) const;
     /** The longest pause between two failed calls: the fleet together must not overload a store that is unavailable. */
     Millis maxRetryPause(const StoreRole &role) const;
 
 private:
+    /**
+     * The maximum age of knowledge with which the second hub, each other hub, or a gateway that is no hub need not read
+     * the store.
+     */
     Millis secondHubMaxAge() const;
     Millis otherHubMaxAge() const;
     Millis followerMaxAge() const;
@@ -120,7 +130,7 @@
         EarlierHub,
         Peer,
     };
-    /** The store was at the revision, or a later one, at that moment. */
+    /** The store's revision was this one at that moment or later. */
     struct Claim
     {
         Revision revision = 0;
--- a/sequoiausher/coordination/gateway/storedutytest.cpp
+++ b/sequoiausher/coordination/gateway/storedutytest.cpp
@@ -272,8 +272,8 @@
 }
 
 // Guards against too many calls to the store. 295 gateways that started together called it 2,600 times, and after that
-// nine hubs called it twice a second each. Each gateway read, proved and watched by itself until it had found a hub,
-// since its own first read did not count, and hubs did not use each other's reads.
+// nine hubs called it twice a second each. Each gateway read, requested proofs and watched by itself until it had found
+// a hub, since its own first read did not count, and hubs did not use each other's reads.
 TEST_CASE("each gateway of a fleet that starts together reads once, then one gateway reads for all")
 {
     for (const std::size_t size : {11UL, 18UL, 66UL, 295UL}) {
@@ -306,7 +306,7 @@
         {
             fleet.isolated.insert(first);
         }
-        SUBCASE("the store turns it away")
+        SUBCASE("the store refuses it")
         {
             fleet.refused.insert(first);
         }
--- a/sequoiausher/coordination/gateway/storeposition.h
+++ b/sequoiausher/coordination/gateway/storeposition.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// One order for all changes of a store, also over restores from a copy. A restore takes the store's revision back, and
-// revisions are then given out a second time for other changes; the store's era increases by one each time. A position
+// One order for all changes of a store, also over restores from a copy. A restore sets the store's revision back, and
+// revisions are then assigned a second time for other changes; the store's era increases by one each time. A position
 // has the era in its high bits and the revision in its low bits, so positions are compared, sent and kept like
 // revisions.
 //
--- a/sequoiausher/coordination/gateway/targetboard.cpp
+++ b/sequoiausher/coordination/gateway/targetboard.cpp
@@ -42,7 +42,8 @@
 /** A part with fewer holders need not be hot: chance and failures also give a part a second target. */
 constexpr std::size_t minHoldersOfHotPart = 3;
 /**
- * Independent requests deviate from their mean by its square root; one count in fifty is two such deviations above it.
+ * A count of independent requests deviates from its mean by about the square root of the mean; one count in fifty is
+ * more than two such deviations above it.
  */
 constexpr double chanceLoadDeviations = 2;
 /**
@@ -363,7 +364,8 @@
         load.targets.push_back(
             {id, state->hash, estimatedInFlight, inFlight, !excluded && !isSkipped && !isBackingOff});
     }
-    // If most targets fail, the cause is not in the targets alone, and skipping them would overload the rest: use all.
+    // If most targets are ejected or full, the cause is not in the targets alone, and skipping them would overload the
+    // rest: use all.
     const bool useSkipped = skipped * 2 > candidates.size() - backingOff;
     std::size_t usable = 0;
     for (std::size_t i = 0; i < candidates.size(); ++i) {
--- a/sequoiausher/coordination/gateway/targetboard.h
+++ b/sequoiausher/coordination/gateway/targetboard.h
@@ -58,8 +58,9 @@
 {
     GatewayTarget target;
     std::uint32_t inFlight = 0;
-    /** Requests in flight at all targets of the service. */
+    /** Requests in flight at all eligible targets of the service. */
     std::uint64_t totalInFlight = 0;
+    /** The number of targets that could have been chosen. */
     std::size_t usableTargetCount = 0;
 };
 
@@ -84,7 +85,10 @@
     /** Chooses a target for the request; none where the service has no usable target. */
     std::optional<ChosenTarget> choose(const TargetCriteria &criteria, Millis now);
 
-    /** Finds the sound target with the fewest requests in flight among the holders of a part, to copy the part from. */
+    /**
+     * Finds the target with the fewest requests in flight among the holders that are listed, not ejected and not in
+     * backoff, to copy the part from.
+     */
     std::optional<GatewayTarget> findCopySource(const std::vector<TargetId> &holders, Millis now);
 
     /** Records that a request is sent to the target. */
@@ -110,11 +114,14 @@
     /** Records that a request ended at the target. */
     void recordEnd(const TargetId &target, TargetOutcome outcome, Millis now);
 
-    /** Starts a round of reports: resets the counts of requests that were sent since the last round. */
+    /**
+     * Starts a round of reports: resets the counts of requests that were sent since the last round, and adds the
+     * current loads to the moving averages.
+     */
     void beginRound();
-    /** The requests that this gateway has in flight. */
+    /** The targets with requests of this gateway in flight, and those that it has ejected. */
     std::vector<GatewayLoad> ownLoads(Millis now) const;
-    /** The requests in flight of this gateway and of all peers but those given. */
+    /** The targets as in ownLoads(), with the requests of all peers but the excluded ones added. */
     std::vector<GatewayLoad> loads(const std::vector<InstanceId> &excludedPeers, Millis now);
     /**
      * Whether the platform lists another incarnation under the target's name, so requests sent to this one are lost.
@@ -125,8 +132,9 @@
     /** Whether this incarnation is listed, and neither the store nor the target itself has announced that it leaves. */
     bool isEligible(const TargetId &target) const;
     std::size_t targetCount(const PoolId &service) const;
-    /** Requests in flight at the eligible targets of the service, and the total of the slots of these targets. */
+    /** Requests in flight at the eligible targets of the service. */
     std::uint64_t inFlight(const PoolId &service, Millis now) const;
+    /** The total of the slots of the eligible targets of the service. */
     std::uint64_t totalSlots(const PoolId &service) const;
 
 private:
--- a/sequoiausher/coordination/gateway/targetboardtest.cpp
+++ b/sequoiausher/coordination/gateway/targetboardtest.cpp
@@ -84,7 +84,8 @@
         gateways[by]->recordStart(chosen->target.id);
         inFlight[chosen->target.id] += 1;
         running.emplace_back(by, chosen->target.id);
-        // Counts the requests of the last five seconds to targets that hold over twice the mean and three more.
+        // Counts the requests of the last five seconds that went to a target with more than twice the mean plus three
+        // requests in flight.
         window.push_back(static_cast<std::size_t>(inFlight[chosen->target.id]) * 12 > 2 * running.size() + 3 * 12);
         if (window.size() > 5000 / stepMs) {
             window.pop_front();
@@ -202,7 +203,7 @@
     CHECK_FALSE(board.isListed(before.id));
     CHECK(board.isListed(after.id));
     CHECK_FALSE(board.isListed(TargetId{"never"}));
-    // A report that was written before its sender learnt of the new incarnation, and one that arrives out of order.
+    // A report about the old incarnation that arrives after the new one is listed.
     board.updatePeerLoads(InstanceId{"q"}, {{before.id, 5, true}}, Millis{20});
     const auto chosen = board.choose(criteriaFor(1), Millis{20});
     REQUIRE(chosen);
--- a/sequoiausher/coordination/gateway/targethealthscore.cpp
+++ b/sequoiausher/coordination/gateway/targethealthscore.cpp
@@ -10,13 +10,17 @@
 constexpr double outcomeWeight = 0.15;
 /** Plain services fail one request in seven when nothing is wrong; a failure rate above this one has another cause. */
 constexpr double ejectionFailureRate = 0.55;
-/** Two consecutive requests without an answer are no coincidence: normally fewer than 1 in 1000 requests gets none. */
-constexpr std::uint32_t ejectionHeavyFailureCount = 2;
 /**
- * The first ejection is long enough for a restart. Each further ejection lasts twice as long, up to a maximum after
- * which a recovered target's capacity is missed.
+ * Two requests without a complete answer and no success between them are no coincidence: normally fewer than 1 in 1000
+ * requests gets no complete answer.
  */
+constexpr std::uint32_t ejectionHeavyFailureCount = 2;
+/** The first ejection is long enough for a restart. */
 constexpr Millis firstEjectionTime{400};
+/**
+ * Each further ejection lasts twice as long, up to 3,200 ms: with longer ones the capacity of a recovered target would
+ * be missed.
+ */
 constexpr std::uint32_t maxEjectionDoublings = 3;
 /** How long a peer's suspicion counts: until the peer's next report or the one after. */
 constexpr Millis peerSuspicionTtl{500};
--- a/sequoiausher/coordination/gateway/targethealthscore.h
+++ b/sequoiausher/coordination/gateway/targethealthscore.h
@@ -1,7 +1,8 @@
 #pragma once
 
 // Whether one target fails too often to get more requests, judged by the outcomes of the requests sent to it. There are
-// no health checks: an ejected target is tried again by one request after an ejection time that grows.
+// no health checks: after an ejection time that grows, the target gets requests again. If they fail too, it is ejected
+// again.
 //
 //     TargetHealthScore health;
 //     health.recordFailure(now, FailureWeight::Heavy);
@@ -27,7 +28,8 @@
 public:
     void recordSuccess(Millis now);
     void recordFailure(Millis now, FailureWeight weight);
-    /** Records that a peer has ejected the target. */
+    /** Records that a peer has ejected the target. The ejection counts only where this gateway's own requests fail too.
+     */
     void recordPeerSuspicion(Millis now);
 
     /** Whether requests should go to other targets. */
--- a/sequoiausher/coordination/gateway/targetlist.cpp
+++ b/sequoiausher/coordination/gateway/targetlist.cpp
@@ -15,7 +15,10 @@
  */
 constexpr std::size_t maxGoneTargets = 4096;
 
-/** Stands for the start time of a removed target that this list never contained. */
+/**
+ * The start time noted for a removed target that this list never contained: later than any other, so that an entry of
+ * any incarnation in a restored copy counts as outdated.
+ */
 constexpr Millis unknownStartTime = Millis::never();
 
 bool isOfEarlierIncarnation(const GatewayTarget &target, const GatewayTarget &current)
--- a/sequoiausher/coordination/gateway/targetlist.h
+++ b/sequoiausher/coordination/gateway/targetlist.h
@@ -38,7 +38,7 @@
 inline constexpr Millis minStoreOutage{2000};
 /** How long after the store's return an expired entry may take to be written again: two seconds and a call's delay. */
 inline constexpr Millis expiredEntryGrace{2300};
-/** An entry that the store removes after its return is kept for the leave bound divided by this. */
+/** An entry that the store removes after its return is kept for at most the leave bound divided by this. */
 inline constexpr std::int64_t lateRemovalBoundDivisor = 2;
 
 /** The changes of a list between two revisions of the store. */
@@ -83,10 +83,11 @@
     void replaceFromPeer(const std::vector<GatewayTarget> &targets, Revision at);
 
     /**
-     * Finds the changes that a list lacks which is complete up to the given revision. There are none to return if that
-     * revision is too old, or if an entry is only kept because it may come back: a receiver that has this entry and
-     * gets the current revision would keep the entry. An entry that did not come back after an outage is removed at the
-     * revision that the list had then, so peers with the same revision may lack that removal too.
+     * Finds the changes that a list which is complete up to the given revision lacks. Returns none if that revision is
+     * 0 or too old, or if an entry is only kept because it may come back: a receiver that has this entry and gets the
+     * current revision would keep the entry. An entry that did not come back after an outage is removed at the revision
+     * that the list had then. So the changes include removals at the given revision itself, because a peer with that
+     * revision may lack them.
      */
     std::optional<TargetChanges> findChangesSince(Revision from) const;
     /**
@@ -99,7 +100,7 @@
      * because it may come back, this is an old revision, so that the list of any other gateway replaces this one.
      */
     Revision shareableRevision() const;
-    /** The revision at which an entry was last written or removed. */
+    /** The revision at which an entry last changed or was removed. */
     Revision lastChangeRevision() const;
     /** When tick() last removed missing entries. */
     Millis lastExpiryAt() const;
@@ -158,6 +159,10 @@
 
     /** Starts the time in which missing entries may come back. */
     void beginGrace(Millis now);
+    /**
+     * Whether a removed entry needs no grace, because no outage long enough for entries to expire is in progress or has
+     * just ended, and the store was not just restored from a copy.
+     */
     bool removesAtOnce(Millis now) const;
     /**
      * Whether a removal at that revision came after the store's return, so that the entry cannot have expired before.
@@ -166,13 +171,17 @@
     bool isOutdated(Revision at) const;
     void write(const GatewayTarget &target, Revision at);
     /**
-     * Whether the entry comes from a later era and shows the target as it was before its removal or announced leaving.
+     * Whether the entry comes from a later era and shows the target as it was before it was removed or announced that
+     * it leaves.
      */
     bool isRestoredCopy(const GatewayTarget &target, Revision at) const;
     /** Writes all targets. @return the entries that are not among them. */
     std::vector<std::map<TargetId, Entry>::iterator> writeAll(const std::vector<GatewayTarget> &targets, Revision at);
     void erase(std::map<TargetId, Entry>::iterator entry, Revision at);
-    /** Records an answer of the store that is complete up to at. The first one after its return covers the outage. */
+    /**
+     * Remembers at as the revision of the first answer after the store's return, which covers the outage; later answers
+     * change nothing.
+     */
     void noteFirstAnswerAfterReturn(Revision at);
     void removeOrKeep(std::map<TargetId, Entry>::iterator entry, Revision at, Millis now);
     void noteGone(const TargetId &name, Revision at, Millis bornAt);
--- a/sequoiausher/coordination/gateway/targetlisttest.cpp
+++ b/sequoiausher/coordination/gateway/targetlisttest.cpp
@@ -337,7 +337,7 @@
     CHECK(list.targets() == std::vector{targetOf("a", true), targetOf("b"), targetOf("d")});
 }
 
-TEST_CASE("an entry without an incarnation belongs to the known one")
+TEST_CASE("an entry without an incarnation belongs to the current one")
 {
     TargetList list;
     list.replaceAll({incarnationOf("a", 200)}, 5, Millis{0});
