--- a/sequoiausher/coordination/gateway/attemptoutcome.cpp
+++ b/sequoiausher/coordination/gateway/attemptoutcome.cpp
@@ -17,7 +17,7 @@
 
 AttemptOutcome notRun(const AnswerState &state)
 {
-    return {AttemptEnd::NotRun, state.isMisdirected ? AttemptMark::Lost : AttemptMark::Full};
+    return {AttemptEnd::NotRun, state.isMisdirected ? TargetOutcome::Lost : TargetOutcome::Full};
 }
 
 } // namespace
@@ -27,7 +27,7 @@
     if (isDeclaredNotRun(state)) {
         return notRun(state);
     }
-    const AttemptOutcome failed{AttemptEnd::Failed, AttemptMark::Failed};
+    const AttemptOutcome failed{AttemptEnd::Failed, TargetOutcome::Failed};
     if (state.isAnswerBegun) {
         // An answer that is not forwarded as it arrives cannot continue the stream that the caller has in part.
         return state.isForwardedAsItArrives ? std::nullopt : std::optional(failed);
@@ -37,29 +37,29 @@
 
 AttemptOutcome classifyLostAnswer(const AnswerState &state, AttemptEnd how)
 {
-    return isDeclaredNotRun(state) ? notRun(state) : AttemptOutcome{how, AttemptMark::Lost};
+    return isDeclaredNotRun(state) ? notRun(state) : AttemptOutcome{how, TargetOutcome::Lost};
 }
 
 std::optional<AttemptOutcome> classifyAbandonedWait(WaitDecision decision, bool hasHead)
 {
     switch (decision) {
     case WaitDecision::DeadlineExceeded:
-        return AttemptOutcome{AttemptEnd::DeadlineExceeded, hasHead ? AttemptMark::Neutral : AttemptMark::Lost};
+        return AttemptOutcome{AttemptEnd::DeadlineExceeded, hasHead ? TargetOutcome::Neutral : TargetOutcome::Lost};
     case WaitDecision::NoConnection:
-        return AttemptOutcome{AttemptEnd::NotSent, AttemptMark::Lost};
+        return AttemptOutcome{AttemptEnd::NotSent, TargetOutcome::Lost};
     case WaitDecision::Lost:
-        return AttemptOutcome{hasHead ? AttemptEnd::Broken : AttemptEnd::NoAnswer, AttemptMark::Neutral};
+        return AttemptOutcome{hasHead ? AttemptEnd::Broken : AttemptEnd::NoAnswer, TargetOutcome::Neutral};
     case WaitDecision::RetryElsewhere:
-        return AttemptOutcome{AttemptEnd::Silent, AttemptMark::Lost};
+        return AttemptOutcome{AttemptEnd::Silent, TargetOutcome::Lost};
     case WaitDecision::KeepWaiting:
         break;
     }
     return std::nullopt;
 }
 
-AttemptMark markForStatus(int status)
+TargetOutcome markForStatus(int status)
 {
-    return status >= firstServerError ? AttemptMark::Failed : AttemptMark::Answered;
+    return status >= firstServerError ? TargetOutcome::Failed : TargetOutcome::Answered;
 }
 
 bool falselyImpliesNotRun(int status, bool didNotRun)
--- a/sequoiausher/coordination/gateway/attemptoutcome.h
+++ b/sequoiausher/coordination/gateway/attemptoutcome.h
@@ -41,7 +41,7 @@
 struct AttemptOutcome
 {
     AttemptEnd end = AttemptEnd::NoAnswer;
-    AttemptMark mark = AttemptMark::Neutral;
+    TargetOutcome mark = TargetOutcome::Neutral;
 
     bool operator==(const AttemptOutcome &) const = default;
 };
@@ -56,7 +56,7 @@
 std::optional<AttemptOutcome> classifyAbandonedWait(WaitDecision decision, bool hasHead);
 
 /** Returns the mark that the target gets for an answer that goes to the caller. */
-AttemptMark markForStatus(int status);
+TargetOutcome markForStatus(int status);
 
 /**
  * Whether the status would imply to the caller that the request did not run although the target has not stated that.
--- a/sequoiausher/coordination/gateway/attemptoutcometest.cpp
+++ b/sequoiausher/coordination/gateway/attemptoutcometest.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr AttemptOutcome full{AttemptEnd::NotRun, AttemptMark::Full};
-constexpr AttemptOutcome misdirected{AttemptEnd::NotRun, AttemptMark::Lost};
-constexpr AttemptOutcome failed{AttemptEnd::Failed, AttemptMark::Failed};
+constexpr AttemptOutcome full{AttemptEnd::NotRun, TargetOutcome::Full};
+constexpr AttemptOutcome misdirected{AttemptEnd::NotRun, TargetOutcome::Lost};
+constexpr AttemptOutcome failed{AttemptEnd::Failed, TargetOutcome::Failed};
 
 /** The head of an answer with this status has arrived, and the caller has received nothing yet. */
 AnswerState answered(int status, bool isIdempotent)
@@ -94,8 +94,8 @@
 {
     for (const AttemptEnd how : {AttemptEnd::NotSent, AttemptEnd::NoAnswer, AttemptEnd::Broken}) {
         CAPTURE(nameOf(how));
-        CHECK(classifyLostAnswer(AnswerState(), how) == AttemptOutcome{how, AttemptMark::Lost});
-        CHECK(classifyLostAnswer(answered(200, true), how) == AttemptOutcome{how, AttemptMark::Lost});
+        CHECK(classifyLostAnswer(AnswerState(), how) == AttemptOutcome{how, TargetOutcome::Lost});
+        CHECK(classifyLostAnswer(answered(200, true), how) == AttemptOutcome{how, TargetOutcome::Lost});
         // The head of a refusal is enough: its body is not needed.
         CHECK(classifyLostAnswer(refused(503, false), how) == full);
         CHECK(classifyLostAnswer(refused(421, true), how) == misdirected);
@@ -113,14 +113,14 @@
     const std::vector<Case> cases{
         {WaitDecision::KeepWaiting, false, std::nullopt},
         {WaitDecision::KeepWaiting, true, std::nullopt},
-        {WaitDecision::DeadlineExceeded, false, AttemptOutcome{AttemptEnd::DeadlineExceeded, AttemptMark::Lost}},
-        {WaitDecision::DeadlineExceeded, true, AttemptOutcome{AttemptEnd::DeadlineExceeded, AttemptMark::Neutral}},
-        {WaitDecision::NoConnection, false, AttemptOutcome{AttemptEnd::NotSent, AttemptMark::Lost}},
-        {WaitDecision::NoConnection, true, AttemptOutcome{AttemptEnd::NotSent, AttemptMark::Lost}},
-        {WaitDecision::Lost, false, AttemptOutcome{AttemptEnd::NoAnswer, AttemptMark::Neutral}},
-        {WaitDecision::Lost, true, AttemptOutcome{AttemptEnd::Broken, AttemptMark::Neutral}},
-        {WaitDecision::RetryElsewhere, false, AttemptOutcome{AttemptEnd::Silent, AttemptMark::Lost}},
-        {WaitDecision::RetryElsewhere, true, AttemptOutcome{AttemptEnd::Silent, AttemptMark::Lost}},
+        {WaitDecision::DeadlineExceeded, false, AttemptOutcome{AttemptEnd::DeadlineExceeded, TargetOutcome::Lost}},
+        {WaitDecision::DeadlineExceeded, true, AttemptOutcome{AttemptEnd::DeadlineExceeded, TargetOutcome::Neutral}},
+        {WaitDecision::NoConnection, false, AttemptOutcome{AttemptEnd::NotSent, TargetOutcome::Lost}},
+        {WaitDecision::NoConnection, true, AttemptOutcome{AttemptEnd::NotSent, TargetOutcome::Lost}},
+        {WaitDecision::Lost, false, AttemptOutcome{AttemptEnd::NoAnswer, TargetOutcome::Neutral}},
+        {WaitDecision::Lost, true, AttemptOutcome{AttemptEnd::Broken, TargetOutcome::Neutral}},
+        {WaitDecision::RetryElsewhere, false, AttemptOutcome{AttemptEnd::Silent, TargetOutcome::Lost}},
+        {WaitDecision::RetryElsewhere, true, AttemptOutcome{AttemptEnd::Silent, TargetOutcome::Lost}},
     };
     for (const Case &given : cases) {
         CAPTURE(nameOf(given.why));
@@ -149,7 +149,7 @@
         const std::optional<AttemptOutcome> whole = classifyCompleteAnswer(state);
         if (whole && whole->end == AttemptEnd::Failed) {
             CHECK((state.isIdempotent || state.isAnswerBegun));
-            CHECK(whole->mark == AttemptMark::Failed);
+            CHECK(whole->mark == TargetOutcome::Failed);
         }
     });
 }
@@ -170,7 +170,7 @@
         CHECK_FALSE(falselyImpliesNotRun(status, true));
         const bool impliesNotRun = status == 408 || status == 421 || status == 429 || status == 503;
         CHECK(falselyImpliesNotRun(status, false) == impliesNotRun);
-        CHECK((markForStatus(status) == AttemptMark::Failed) == (status >= 500));
-        CHECK((markForStatus(status) == AttemptMark::Answered) == (status < 500));
+        CHECK((markForStatus(status) == TargetOutcome::Failed) == (status >= 500));
+        CHECK((markForStatus(status) == TargetOutcome::Answered) == (status < 500));
     }
 }
--- a/sequoiausher/coordination/gateway/peerdirectory.cpp
+++ b/sequoiausher/coordination/gateway/peerdirectory.cpp
@@ -12,47 +12,56 @@
 
 namespace {
 
-/** A gateway that was heard of so lately is at work. */
-constexpr Millis memberLife{5000};
-/** One that was not heard of for so long is forgotten: machines are replaced under other addresses. */
-constexpr Millis memory{60000};
-/** Up to so many gateways everybody reports to everybody: with more, 200 reports a second would come and go. */
-constexpr std::size_t smallFleet = 10;
-constexpr std::size_t fewestHubs = 4;
-/** Who has less than one part of so many of the strongest one's strength is no hub while there are others. */
-constexpr unsigned int weakFraction = 2;
-/** After so many rounds at a hub of another data centre a gateway tries its own again: the lists know by then. */
-constexpr std::size_t roundsAway = 16;
-/** A hub that has not answered so many reports in a row is left for the next one. */
-constexpr std::uint32_t mostUnanswered = 2;
-/** For so long the list of hubs is kept: less than a round, so that each round goes by the present one. */
-constexpr Millis hubsLife{250};
-/** What a fleet may have before anything is known of it. */
-constexpr std::size_t unknownFleetSize = 12;
+/** A gateway that was seen within this time is a live member. */
+constexpr Millis memberTtl{5000};
+/** A gateway that was not seen for this long is forgotten, since machines are replaced under other addresses. */
+constexpr Millis peerTtl{60000};
+/** Up to this many gateways all report to all; with more, 200 reports a second would be sent and received. */
+constexpr std::size_t maxFleetWithoutHubs = 10;
+constexpr std::size_t minHubs = 4;
+/**
+ * A gateway with less strength than the strongest gateway's strength divided by this is a hub only if there are too few
+ * others.
+ */
+constexpr unsigned int weakStrengthDivisor = 2;
+/**
+ * After this many rounds at a hub of another data centre a gateway tries its own again: by then the lists are up to
+ * date.
+ */
+constexpr std::size_t maxRoundsAtRemoteHub = 16;
+/** A gateway changes to the next hub once its hub has left this many consecutive reports unanswered. */
+constexpr std::uint32_t maxUnansweredReports = 2;
+/** How long the list of hubs is cached: less than one round, so that each round uses an up-to-date list. */
+constexpr Millis hubListTtl{250};
+/** The fleet size that is assumed before the first report. */
+constexpr std::size_t assumedFleetSize = 12;
 
 } // namespace
 
 class PeerDirectory::Private
 {
 public:
-    struct Known
+    struct PeerRecord
     {
-        /** When anybody last heard from it. */
-        Millis heardAt;
+        /** When any gateway last received a report from the peer. */
+        Millis lastSeenAt;
         Millis newestSentAt;
         bool isHub = false;
         std::uint16_t strength = 0;
         DataCentreId dataCentre;
-        /** Of its name. */
+        /** The hash of the peer's name. */
         std::uint64_t hash = 0;
     };
 
-    /** The hubs in the order that all share, worked out anew now and then: it takes a look at every name. */
+    /**
+     * Returns the hubs in the order that all gateways share. The list is cached, because computing it visits every
+     * name.
+     */
     const std::vector<InstanceId> &hubs(Millis now)
     {
-        if (!this->hubsKnown || now - this->hubsAt >= hubsLife) {
-            this->hubsKnown = true;
-            this->hubsAt = now;
+        if (!this->hasHubList || now - this->hubsUpdatedAt >= hubListTtl) {
+            this->hasHubList = true;
+            this->hubsUpdatedAt = now;
             this->currentHubs = this->findHubs(now);
             const auto found = std::find(this->currentHubs.begin(), this->currentHubs.end(), this->self);
             this->selfIsHub = found != this->currentHubs.end();
@@ -61,17 +70,17 @@
         return this->currentHubs;
     }
 
-    /** What hubs are chosen by, worked out once for each sort. */
+    /** The properties that decide which gateways are hubs, collected once for each sort. */
     struct Candidate
     {
         std::uint16_t strength = 0;
         std::uint64_t hash = 0;
         const InstanceId *instance = nullptr;
         const DataCentreId *dataCentre = nullptr;
-        /** Too weak to carry others while there are stronger ones. */
+        /** Too weak to be a hub while there are stronger candidates. */
         bool isWeak = false;
-        /** Its place among its data centre's, 0 first. */
-        std::size_t place = 0;
+        /** The rank among the candidates of the same data centre, 0 first. */
+        std::size_t rankInDataCentre = 0;
     };
 
     static bool isStronger(const Candidate &a, const Candidate &b)
@@ -79,21 +88,24 @@
         return a.strength != b.strength ? a.strength > b.strength : a.hash < b.hash;
     }
 
-    /** The first of each data centre, then the second of each, and so on; weak ones last. */
-    static bool comesFirst(const Candidate &a, const Candidate &b)
+    /**
+     * Orders the first candidate of each data centre before the second of each, and so on; weak candidates come last.
+     */
+    static bool hasHubPriority(const Candidate &a, const Candidate &b)
     {
         if (a.isWeak != b.isWeak) {
             return b.isWeak;
         }
-        return !a.isWeak && a.place != b.place ? a.place < b.place : isStronger(a, b);
+        return !a.isWeak && a.rankInDataCentre != b.rankInDataCentre ? a.rankInDataCentre < b.rankInDataCentre
+                                                                     : isStronger(a, b);
     }
 
-    std::vector<Candidate> live(Millis now) const
+    std::vector<Candidate> liveCandidates(Millis now) const
     {
         std::vector<Candidate> all{{this->strength, hash64(this->self.value), &this->self, &this->dataCentre}};
-        for (const auto &[peer, one] : this->known) {
-            if (now - one.heardAt < memberLife) {
-                all.push_back({one.strength, one.hash, &peer, &one.dataCentre});
+        for (const auto &[peer, record] : this->known) {
+            if (now - record.lastSeenAt < memberTtl) {
+                all.push_back({record.strength, record.hash, &peer, &record.dataCentre});
             }
         }
         return all;
@@ -101,20 +113,20 @@
 
     std::vector<InstanceId> findHubs(Millis now) const
     {
-        std::vector<Candidate> all = this->live(now);
-        if (all.size() <= smallFleet) {
+        std::vector<Candidate> all = this->liveCandidates(now);
+        if (all.size() <= maxFleetWithoutHubs) {
             return {};
         }
         std::sort(all.begin(), all.end(), isStronger);
-        std::map<DataCentreId, std::size_t> places;
-        for (Candidate &each : all) {
-            each.isWeak = each.strength * weakFraction < all.front().strength;
-            each.place = places[*each.dataCentre]++;
+        std::map<DataCentreId, std::size_t> nextRank;
+        for (Candidate &candidate : all) {
+            candidate.isWeak = candidate.strength * weakStrengthDivisor < all.front().strength;
+            candidate.rankInDataCentre = nextRank[*candidate.dataCentre]++;
         }
-        // So many that a hub answers about as many gateways as there are hubs, four times over.
+        // The count makes each hub answer about four times as many gateways as there are hubs.
         const auto root = static_cast<std::size_t>(std::lround(std::sqrt(static_cast<double>(all.size())) / 2));
-        const std::size_t count = std::min(std::max(fewestHubs, root), all.size());
-        std::partial_sort(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(count), all.end(), comesFirst);
+        const std::size_t count = std::min(std::max(minHubs, root), all.size());
+        std::partial_sort(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(count), all.end(), hasHubPriority);
         std::vector<InstanceId> hubs;
         for (std::size_t i = 0; i < count; ++i) {
             hubs.push_back(*all[i].instance);
@@ -122,37 +134,41 @@
         return hubs;
     }
 
-    bool isNear(const InstanceId &peer) const
+    bool isInOwnDataCentre(const InstanceId &peer) const
     {
         const auto found = this->known.find(peer);
         return found != this->known.end() && found->second.dataCentre == this->dataCentre;
     }
 
-    /** Whether it is time to go back to a hub of the own data centre, after another one had to stand in. */
-    bool shouldReturn(const std::vector<InstanceId> &all) const
+    /** Whether this gateway uses a hub of another data centre and should try one of its own again. */
+    bool shouldReturnToOwnDataCentre(const std::vector<InstanceId> &all) const
     {
-        return this->roundsAtHub >= roundsAway && !this->isNear(this->hub)
-            && std::any_of(all.begin(), all.end(), [this](const InstanceId &each) { return this->isNear(each); });
+        return this->roundsAtHub >= maxRoundsAtRemoteHub && !this->isInOwnDataCentre(this->hub)
+            && std::any_of(all.begin(), all.end(), [this](const InstanceId &candidate) {
+                   return this->isInOwnDataCentre(candidate);
+               });
     }
 
-    /** The hub to which this gateway turns where its own leaves it without an answer. */
+    /** Returns the hub to use after the current one. */
     const InstanceId &nextHub(const std::vector<InstanceId> &all) const
     {
-        std::vector<const InstanceId *> near;
-        std::vector<const InstanceId *> others;
-        for (const InstanceId &each : all) {
-            if (each != this->hub) {
-                (this->isNear(each) ? near : others).push_back(&each);
+        std::vector<const InstanceId *> ownDataCentreHubs;
+        std::vector<const InstanceId *> remoteHubs;
+        for (const InstanceId &candidate : all) {
+            if (candidate != this->hub) {
+                (this->isInOwnDataCentre(candidate) ? ownDataCentreHubs : remoteHubs).push_back(&candidate);
             }
         }
-        // A near one that has just failed may be named for seconds: the one after it is to be a far one.
-        const bool staysNear = others.empty() || (!near.empty() && !this->isNear(this->hub));
-        const std::vector<const InstanceId *> &from = staysNear ? near : others;
-        const std::uint64_t order = hash64(this->self.value, this->seed) + this->changes;
+        // A failed hub of the own data centre may stay listed for seconds, so the hub after it is one of another data
+        // centre.
+        const bool usesOwnDataCentre
+            = remoteHubs.empty() || (!ownDataCentreHubs.empty() && !this->isInOwnDataCentre(this->hub));
+        const std::vector<const InstanceId *> &from = usesOwnDataCentre ? ownDataCentreHubs : remoteHubs;
+        const std::uint64_t order = hash64(this->self.value, this->hubOrderSeed) + this->hubChanges;
         return from.empty() ? all.front() : *from[order % from.size()];
     }
 
-    Known &entryOf(const InstanceId &peer)
+    PeerRecord &findOrAddRecord(const InstanceId &peer)
     {
         const auto [entry, isNew] = this->known.try_emplace(peer);
         if (isNew) {
@@ -163,28 +179,28 @@
 
     InstanceId self;
     std::set<InstanceId> seeds;
-    std::map<InstanceId, Known> known;
-    std::uint64_t seed = 0;
+    std::map<InstanceId, PeerRecord> known;
+    std::uint64_t hubOrderSeed = 0;
     std::uint16_t strength = 0;
     DataCentreId dataCentre;
-    bool hasHeard = false;
-    /** The hub that this gateway reports to, and how many reports it left unanswered. */
+    bool hasReceivedReport = false;
+    /** The hub that this gateway reports to, and the number of its consecutive reports that the hub left unanswered. */
     InstanceId hub;
-    std::uint32_t unanswered = 0;
+    std::uint32_t unansweredReports = 0;
     std::size_t roundsAtHub = 0;
-    std::uint64_t changes = 0;
+    std::uint64_t hubChanges = 0;
     std::vector<InstanceId> currentHubs;
-    bool hubsKnown = false;
+    bool hasHubList = false;
     bool selfIsHub = false;
     std::size_t selfRank = 0;
-    Millis hubsAt;
+    Millis hubsUpdatedAt;
 };
 
-PeerDirectory::PeerDirectory(InstanceId self, const std::vector<InstanceId> &seeds, std::uint64_t seed)
+PeerDirectory::PeerDirectory(InstanceId self, const std::vector<InstanceId> &seeds, std::uint64_t hubOrderSeed)
     : d(std::make_unique<Private>())
 {
     this->d->self = std::move(self);
-    this->d->seed = seed;
+    this->d->hubOrderSeed = hubOrderSeed;
     this->setSeeds(seeds);
 }
 
@@ -202,36 +218,36 @@
     this->d->dataCentre = dataCentre;
 }
 
-void PeerDirectory::heardFrom(const InstanceId &peer, const GatewayReport &report, Millis now)
+void PeerDirectory::recordReport(const InstanceId &peer, const GatewayReport &report, Millis now)
 {
-    this->d->hasHeard = true;
+    this->d->hasReceivedReport = true;
     if (peer == this->d->hub) {
-        this->d->unanswered = 0;
+        this->d->unansweredReports = 0;
     }
-    Private::Known &known = this->d->entryOf(peer);
-    known.heardAt = now;
+    Private::PeerRecord &known = this->d->findOrAddRecord(peer);
+    known.lastSeenAt = now;
     known.newestSentAt = report.sentAt;
     known.isHub = report.isHub;
     known.strength = report.strength;
     known.dataCentre = report.dataCentre;
     for (const GatewayMember &member : report.members) {
-        if (member.instance != this->d->self && member.age < memory) {
-            Private::Known &other = this->d->entryOf(member.instance);
-            other.heardAt = std::max(other.heardAt, now - member.age);
+        if (member.instance != this->d->self && member.age < peerTtl) {
+            Private::PeerRecord &other = this->d->findOrAddRecord(member.instance);
+            other.lastSeenAt = std::max(other.lastSeenAt, now - member.age);
             other.strength = member.strength;
             other.dataCentre = member.dataCentre;
         }
     }
-    std::erase_if(this->d->known, [now](const auto &entry) { return now - entry.second.heardAt > memory; });
+    std::erase_if(this->d->known, [now](const auto &entry) { return now - entry.second.lastSeenAt > peerTtl; });
 }
 
-std::vector<DueReport> PeerDirectory::due(Millis now)
+std::vector<DueReport> PeerDirectory::takeDueReports(Millis now)
 {
     std::vector<DueReport> reports;
     const std::vector<InstanceId> &hubs = this->d->hubs(now);
     if (hubs.empty()) {
         for (const InstanceId &peer : this->peers()) {
-            reports.push_back({peer, !this->d->hasHeard});
+            reports.push_back({peer, !this->d->hasReceivedReport});
         }
         return reports;
     }
@@ -244,25 +260,25 @@
         return reports;
     }
     const bool isGone = std::find(hubs.begin(), hubs.end(), this->d->hub) == hubs.end();
-    if (isGone || this->d->unanswered >= mostUnanswered || this->d->shouldReturn(hubs)) {
+    if (isGone || this->d->unansweredReports >= maxUnansweredReports || this->d->shouldReturnToOwnDataCentre(hubs)) {
         this->d->hub = this->d->nextHub(hubs);
-        this->d->changes += 1;
-        this->d->unanswered = 0;
+        this->d->hubChanges += 1;
+        this->d->unansweredReports = 0;
         this->d->roundsAtHub = 0;
     }
     this->d->roundsAtHub += 1;
     reports.push_back({this->d->hub, true});
-    if (this->d->unanswered > 0 && hubs.size() > 1) {
-        // Where the hub is gone, the link to the next one is there once it is needed.
+    if (this->d->unansweredReports > 0 && hubs.size() > 1) {
+        // Connects to the next hub early, so that the link exists if the current hub is gone.
         reports.push_back({this->d->nextHub(hubs), true});
     }
-    this->d->unanswered += 1;
+    this->d->unansweredReports += 1;
     return reports;
 }
 
 bool PeerDirectory::mustReply(const InstanceId &peer, const GatewayReport &report, Millis now) const
 {
-    // Two gateways that take each other for none of the hubs would answer each other's answers without an end.
+    // Two gateways that both consider the other no hub would answer each other's replies endlessly.
     if (report.isReply || report.wantsReply) {
         return !report.isReply;
     }
@@ -289,17 +305,17 @@
 bool PeerDirectory::comesBefore(const InstanceId &peer, Millis now) const
 {
     const std::vector<InstanceId> &hubs = this->d->hubs(now);
-    const auto place = std::find(hubs.begin(), hubs.end(), peer);
-    return place != hubs.end() && static_cast<std::size_t>(place - hubs.begin()) < this->d->selfRank;
+    const auto position = std::find(hubs.begin(), hubs.end(), peer);
+    return position != hubs.end() && static_cast<std::size_t>(position - hubs.begin()) < this->d->selfRank;
 }
 
-bool PeerDirectory::isHub(const InstanceId &peer) const
+bool PeerDirectory::statedHub(const InstanceId &peer) const
 {
     const auto found = this->d->known.find(peer);
     return found != this->d->known.end() && found->second.isHub;
 }
 
-std::vector<InstanceId> PeerDirectory::hubPeers() const
+std::vector<InstanceId> PeerDirectory::statedHubs() const
 {
     std::vector<InstanceId> all;
     for (const auto &[peer, known] : this->d->known) {
@@ -329,8 +345,8 @@
 {
     std::vector<GatewayMember> all;
     for (const auto &[peer, known] : this->d->known) {
-        if (now - known.heardAt < memberLife) {
-            all.push_back({peer, now - known.heardAt, known.strength, known.dataCentre});
+        if (now - known.lastSeenAt < memberTtl) {
+            all.push_back({peer, now - known.lastSeenAt, known.strength, known.dataCentre});
         }
     }
     return all;
@@ -339,10 +355,10 @@
 std::size_t PeerDirectory::fleetSize(Millis /*now*/) const
 {
     const std::size_t known = this->d->known.size() + 1;
-    return this->d->hasHeard ? known : std::max(known, unknownFleetSize);
+    return this->d->hasReceivedReport ? known : std::max(known, assumedFleetSize);
 }
 
-Millis PeerDirectory::newestFrom(const InstanceId &peer) const
+Millis PeerDirectory::newestReportFrom(const InstanceId &peer) const
 {
     const auto found = this->d->known.find(peer);
     return found != this->d->known.end() ? found->second.newestSentAt : Millis{0};
--- a/sequoiausher/coordination/gateway/peerdirectorytest.cpp
+++ b/sequoiausher/coordination/gateway/peerdirectorytest.cpp
@@ -21,7 +21,7 @@
     return DataCentreId{std::string(1, static_cast<char>('a' + i % 6))};
 }
 
-/** Gateways that send each other the reports that are due, some of them dead. */
+/** Gateways that send each other the reports that are due; some of them are dead. */
 class Fleet
 {
 public:
@@ -42,7 +42,7 @@
             if (this->dead.contains(i)) {
                 continue;
             }
-            for (const DueReport &due : this->directories[i].due(now)) {
+            for (const DueReport &due : this->directories[i].takeDueReports(now)) {
                 this->deliver(i, due.peer, due.wantsReply, now);
             }
         }
@@ -66,7 +66,7 @@
             report.members = this->directories[from].members(now);
         }
         PeerDirectory &receiver = this->directories[index->second];
-        receiver.heardFrom(nameOf(from), report, now);
+        receiver.recordReport(nameOf(from), report, now);
         if (receiver.mustReply(nameOf(from), report, now)) {
             this->deliver(index->second, nameOf(from), false, now, true);
         }
@@ -89,7 +89,7 @@
 
 } // namespace
 
-TEST_CASE("all gateways learn of all others from three seeds, of which one is stale")
+TEST_CASE("all gateways learn of all others from three seeds, one of them stale")
 {
     for (const std::size_t size : {7UL, 66UL, 300UL}) {
         CAPTURE(size);
@@ -105,20 +105,21 @@
     }
 }
 
-TEST_CASE("what a large fleet says in a round grows with its size, not with its square")
+TEST_CASE("the number of reports per round of a large fleet grows with its size, not with its square")
 {
     Fleet fleet(300);
     for (int round = 1; round <= 15; ++round) {
         fleet.round(Millis{round * 300});
     }
-    // Each gateway's report and its reply, and those between nine hubs.
+    // Each gateway's report and the reply, and the reports between nine hubs.
     CHECK(fleet.hubCount(Millis{4500}) == 9);
     CHECK(fleet.sent < 300 * 2 + 9 * 8);
 }
 
-// Symptom: a change of the routes took seconds to reach a part of the fleet. Events: the configuration grows to half a
-// megabyte, and a hub on a slow link passes it on to twenty others. Cause: hubs were chosen whatever they can carry.
-TEST_CASE("hubs are among the strongest")
+// Guards against hubs with too little capacity. When hubs were chosen regardless of strength, a hub on a slow link
+// passed a configuration of half a megabyte on to twenty gateways, and a change of the routes took seconds to reach
+// them.
+TEST_CASE("hubs are among the strongest gateways")
 {
     Fleet fleet(66);
     for (int round = 1; round <= 12; ++round) {
@@ -129,8 +130,8 @@
     }
 }
 
-// Symptom: a tenth of a fleet refused all keyed requests for seconds. Events: a hub dies, and its gateways go on asking
-// it for proofs. Cause: nobody looked for another one.
+// Guards against gateways that stay with a dead hub. When they kept asking it for proofs, a tenth of a fleet refused
+// all keyed requests for seconds.
 TEST_CASE("gateways whose hub is dead report to another one within three rounds")
 {
     Fleet fleet(66);
@@ -148,8 +149,8 @@
         const Millis now{round * 300};
         fleet.round(now);
         for (std::size_t i = 0; i < 66; ++i) {
-            for (const InstanceId &hub : fleet.directories[i].hubPeers()) {
-                newest[i] = std::max(newest[i], fleet.directories[i].newestFrom(hub));
+            for (const InstanceId &hub : fleet.directories[i].statedHubs()) {
+                newest[i] = std::max(newest[i], fleet.directories[i].newestReportFrom(hub));
             }
             if (!fleet.dead.contains(i)) {
                 CAPTURE(i);
@@ -162,10 +163,9 @@
     CHECK(fleet.hubCount(Millis{9000}) == 4);
 }
 
-// Symptom: two gateways sent each other thousands of reports a second, and nothing else went on.
-// Events: each of them knows of a large fleet, and takes the other for none of its hubs; one report goes out.
-// Cause: an answer was answered like a report.
-TEST_CASE("an answer is never answered")
+// Guards against endless replies. Two gateways know of a large fleet, and each considers the other no hub. When replies
+// were answered like reports, one report made them send each other thousands a second, and they did nothing else.
+TEST_CASE("a reply is never answered")
 {
     Fleet fleet(66);
     for (int round = 1; round <= 12; ++round) {
@@ -179,27 +179,27 @@
     }
 }
 
-TEST_CASE("one that is silent is no member soon, and is forgotten after a minute")
+TEST_CASE("a silent gateway is no member after a few seconds, and is forgotten after a minute")
 {
     PeerDirectory directory(nameOf(0), {nameOf(1)}, 1);
     CHECK(directory.fleetSize(Millis{0}) == 12);
     GatewayReport report;
     report.sentAt = Millis{77};
-    directory.heardFrom(nameOf(1), report, Millis{1000});
-    directory.heardFrom(nameOf(2), report, Millis{1000});
+    directory.recordReport(nameOf(1), report, Millis{1000});
+    directory.recordReport(nameOf(2), report, Millis{1000});
     CHECK(directory.members(Millis{2000}).size() == 2);
-    CHECK(directory.newestFrom(nameOf(2)) == Millis{77});
+    CHECK(directory.newestReportFrom(nameOf(2)) == Millis{77});
     CHECK(directory.members(Millis{7000}).empty());
     CHECK(directory.fleetSize(Millis{7000}) == 3);
-    directory.heardFrom(nameOf(1), report, Millis{62000});
+    directory.recordReport(nameOf(1), report, Millis{62000});
     CHECK(directory.fleetSize(Millis{62000}) == 2);
     CHECK(directory.peers() == std::vector{nameOf(1)});
 }
 
-// Symptom: most of the bytes between data centres were reports. Events: 295 gateways in six data centres report three
-// times a second, each to a hub that it found by a hash. Cause: five in six of these hubs stood elsewhere, and nothing
-// saw to it that each data centre has one.
-TEST_CASE("each data centre has a hub, to which its gateways report")
+// Guards against reports that cross between data centres needlessly. 295 gateways in six data centres report three
+// times a second. When each chose its hub by a hash, five in six hubs were in another data centre, no rule gave each
+// data centre a hub, and reports made up most of the bytes between data centres.
+TEST_CASE("each data centre has a hub, and its gateways report to that hub")
 {
     Fleet fleet(295);
     for (int round = 1; round <= 40; ++round) {
@@ -214,7 +214,7 @@
             withHub.insert(dataCentreOf(i));
             continue;
         }
-        const std::vector<DueReport> due = fleet.directories[i].due(now);
+        const std::vector<DueReport> due = fleet.directories[i].takeDueReports(now);
         REQUIRE(due.size() == 1);
         others += 1;
         near += dataCentreOf(fleet.indexes.at(due.front().peer)) == dataCentreOf(i) ? 1 : 0;
@@ -223,7 +223,7 @@
     CHECK(near == others);
 }
 
-TEST_CASE("a gateway whose hub died turns to one of another data centre, and back once its own has one")
+TEST_CASE("a gateway whose hub died uses one of another data centre, and returns once its own has one")
 {
     Fleet fleet(66);
     for (int round = 1; round <= 12; ++round) {
@@ -234,12 +234,12 @@
     while (fleet.directories[gateway].isHub(now)) {
         gateway += 1;
     }
-    const InstanceId hub = fleet.directories[gateway].due(now).front().peer;
+    const InstanceId hub = fleet.directories[gateway].takeDueReports(now).front().peer;
     fleet.dead.insert(fleet.indexes.at(hub));
     std::set<InstanceId> asked;
     for (int round = 13; round <= 16; ++round) {
         fleet.round(Millis{round * 300});
-        for (const DueReport &due : fleet.directories[gateway].due(Millis{round * 300})) {
+        for (const DueReport &due : fleet.directories[gateway].takeDueReports(Millis{round * 300})) {
             asked.insert(due.peer);
         }
     }
@@ -248,12 +248,12 @@
     for (int round = 17; round <= 60; ++round) {
         fleet.round(Millis{round * 300});
     }
-    const InstanceId last = fleet.directories[gateway].due(Millis{61 * 300}).front().peer;
+    const InstanceId last = fleet.directories[gateway].takeDueReports(Millis{61 * 300}).front().peer;
     CHECK(last != hub);
     CHECK(fleet.directories[fleet.indexes.at(last)].isHub(Millis{61 * 300}));
 }
 
-TEST_CASE("a weak gateway is no hub for its data centre's sake")
+TEST_CASE("a weak gateway does not become a hub only because its data centre has no other")
 {
     PeerDirectory directory(nameOf(0), {}, 1);
     directory.setSelf(1, DataCentreId{"lonely"});
@@ -262,7 +262,7 @@
         report.sentAt = Millis{1000};
         report.strength = 10;
         report.dataCentre = DataCentreId{"busy"};
-        directory.heardFrom(nameOf(i), report, Millis{1000});
+        directory.recordReport(nameOf(i), report, Millis{1000});
     }
     CHECK(directory.hasHubs(Millis{1000}));
     CHECK_FALSE(directory.isHub(Millis{1000}));
--- a/sequoiausher/coordination/gateway/requestquarantine.cpp
+++ b/sequoiausher/coordination/gateway/requestquarantine.cpp
@@ -22,7 +22,7 @@
     Millis endedAt;
     Millis learntAt;
     InstanceId from;
-    NewsScope scope = NewsScope::Own;
+    UpdateScope scope = UpdateScope::Own;
 };
 
 struct Suspect
@@ -33,7 +33,7 @@
     std::optional<Millis> answeredAt;
     Millis answerLearntAt;
     InstanceId answerFrom;
-    NewsScope answerScope = NewsScope::Own;
+    UpdateScope answerScope = UpdateScope::Own;
     bool isRefused = false;
 };
 
@@ -82,7 +82,8 @@
     void addCrash(const RequestFingerprint &request, Crash crash, Millis now);
     /** Decides about the requests with new crashes. @return the requests that are refused from now on. */
     std::vector<RequestFingerprint> decide();
-    void applyAnswer(const RequestFingerprint &request, Millis at, Millis now, const InstanceId &from, NewsScope scope);
+    void
+    applyAnswer(const RequestFingerprint &request, Millis at, Millis now, const InstanceId &from, UpdateScope scope);
     bool causesCrashes(const RequestFingerprint &request, const Suspect &suspect) const;
     /** Stops refusing requests with fewer crashes, all of them at targets that also had the culprit in flight. */
     void releaseCoincident(const RequestFingerprint &request, const Suspect &culprit);
@@ -138,7 +139,7 @@
     });
     this->d->expire(now);
     for (const Loss &loss : known) {
-        this->d->addCrash(loss.request, {target, loss.sentAt, loss.at, now, {}, NewsScope::Own}, now);
+        this->d->addCrash(loss.request, {target, loss.sentAt, loss.at, now, {}, UpdateScope::Own}, now);
     }
     return this->d->decide();
 }
@@ -178,13 +179,13 @@
         }
         this->d->answerOrder.pop_front();
     }
-    this->d->applyAnswer(request, now, now, {}, NewsScope::Own);
+    this->d->applyAnswer(request, now, now, {}, UpdateScope::Own);
 }
 
 std::vector<RequestFingerprint> RequestQuarantine::mergeReport(const InstanceId &peer,
                                                                const std::vector<GatewayCrash> &crashes,
                                                                Millis now,
-                                                               NewsScope scope)
+                                                               UpdateScope scope)
 {
     this->d->expire(now);
     for (const GatewayCrash &crash : crashes) {
@@ -274,7 +275,7 @@
                                              Millis at,
                                              Millis now,
                                              const InstanceId &from,
-                                             NewsScope scope)
+                                             UpdateScope scope)
 {
     const auto found = this->suspects.find(request);
     if (found == this->suspects.end() || (found->second.answeredAt && *found->second.answeredAt >= at)) {
@@ -322,7 +323,7 @@
     for (const Loss &loss : this->losses) {
         const bool isPending = !loss.isTargetAlive && now - loss.at <= this->settings.maxDetectionTime;
         if (loss.request == request && isPending && !hasCrashOf(suspect, loss.target)) {
-            suspect.crashes.push_back({loss.target, loss.sentAt, loss.at, loss.at, {}, NewsScope::Own});
+            suspect.crashes.push_back({loss.target, loss.sentAt, loss.at, loss.at, {}, UpdateScope::Own});
         }
     }
     return suspect;
@@ -357,11 +358,11 @@
     std::erase_if(this->losses, [this, now](const Loss &loss) { return now - loss.at > this->settings.lossTtl; });
 }
 
-std::vector<GatewayCrash> RequestQuarantine::reportFor(const InstanceId &peer, NewsScope scope, Millis now)
+std::vector<GatewayCrash> RequestQuarantine::reportFor(const InstanceId &peer, UpdateScope scope, Millis now)
 {
     std::vector<std::pair<std::size_t, GatewayCrash>> news;
     const bool isFullReport = this->d->reports[peer]++ % reportsPerFullReport == 0;
-    const auto isRecent = [this, &peer, scope, now](Millis learntAt, const InstanceId &from, NewsScope own) {
+    const auto isRecent = [this, &peer, scope, now](Millis learntAt, const InstanceId &from, UpdateScope own) {
         return now - learntAt <= this->d->settings.reportTtl && own <= scope && from != peer;
     };
     for (const auto &[request, suspect] : this->d->suspects) {
--- a/sequoiausher/coordination/gateway/requestquarantine.h
+++ b/sequoiausher/coordination/gateway/requestquarantine.h
@@ -75,9 +75,9 @@
 
     /** Merges a peer's report. @param scope as for PrefixDirectory. @return the requests refused from now on. */
     std::vector<RequestFingerprint>
-    mergeReport(const InstanceId &peer, const std::vector<GatewayCrash> &crashes, Millis now, NewsScope scope);
+    mergeReport(const InstanceId &peer, const std::vector<GatewayCrash> &crashes, Millis now, UpdateScope scope);
     /** Returns the report for peer: recent observations and, in every fourth report, all refused requests. */
-    std::vector<GatewayCrash> reportFor(const InstanceId &peer, NewsScope scope, Millis now);
+    std::vector<GatewayCrash> reportFor(const InstanceId &peer, UpdateScope scope, Millis now);
 
     /**
      * Returns how long the request is refused if no caller sends it meanwhile; none where it may be sent. A request is
--- a/sequoiausher/coordination/gateway/requestquarantinetest.cpp
+++ b/sequoiausher/coordination/gateway/requestquarantinetest.cpp
@@ -50,20 +50,20 @@
         return from < this->hubs ? to % this->hubs == from : from % this->hubs == to;
     }
 
-    NewsScope scopeOf(std::size_t from, std::size_t to) const
+    UpdateScope scopeOf(std::size_t from, std::size_t to) const
     {
         if (this->hubs == 0 || from >= this->hubs) {
-            return NewsScope::Own;
+            return UpdateScope::Own;
         }
-        return to < this->hubs ? NewsScope::Group : NewsScope::All;
+        return to < this->hubs ? UpdateScope::Group : UpdateScope::All;
     }
 
-    NewsScope heardAs(std::size_t from, std::size_t at) const
+    UpdateScope heardAs(std::size_t from, std::size_t at) const
     {
         if (this->hubs == 0 || at >= this->hubs) {
-            return NewsScope::Own;
+            return UpdateScope::Own;
         }
-        return from < this->hubs ? NewsScope::All : NewsScope::Group;
+        return from < this->hubs ? UpdateScope::All : UpdateScope::Group;
     }
 
     static InstanceId name(std::size_t gateway)
@@ -240,7 +240,7 @@
     SUBCASE("an answer at a peer")
     {
         quarantine.mergeReport(
-            {"g2"}, {{innocent.caller, innocent.content, {}, Millis{500}, Millis{0}}}, Millis{3000}, NewsScope::Own);
+            {"g2"}, {{innocent.caller, innocent.content, {}, Millis{500}, Millis{0}}}, Millis{3000}, UpdateScope::Own);
     }
     CHECK(quarantine.mayRetry(innocent, Millis{3000}));
     CHECK(crash(quarantine, innocent, 3, Millis{4000}).empty());
@@ -256,8 +256,8 @@
     for (int i = 0; i < 3; ++i) {
         blame.push_back({innocent.caller, innocent.content, target(i), Millis{4000 - i * 1000}, runTime});
     }
-    CHECK(quarantine.mergeReport({"g2"}, blame, Millis{4500}, NewsScope::Own).empty());
-    const std::vector<GatewayCrash> news = quarantine.reportFor({"g2"}, NewsScope::Own, Millis{4600});
+    CHECK(quarantine.mergeReport({"g2"}, blame, Millis{4500}, UpdateScope::Own).empty());
+    const std::vector<GatewayCrash> news = quarantine.reportFor({"g2"}, UpdateScope::Own, Millis{4600});
     REQUIRE(news.size() == 1);
     CHECK(news[0].target.value.empty());
     CHECK(news[0].age == Millis{3600});
@@ -293,7 +293,7 @@
     }
     CHECK(quarantine.refusedCount() == 1);
     CHECK(quarantine.refusedFor(culprit, Millis{9000}));
-    CHECK(quarantine.reportFor({"g2"}, NewsScope::All, Millis{9000}).size() <= 256);
+    CHECK(quarantine.reportFor({"g2"}, UpdateScope::All, Millis{9000}).size() <= 256);
 }
 
 // Guards against the loss of many targets filling the reports, which would leave out a request that crashes targets.
@@ -306,7 +306,7 @@
     }
     crash(quarantine, last, 1000, Millis{1000});
     crash(quarantine, last, 1001, Millis{1200});
-    const std::vector<GatewayCrash> news = quarantine.reportFor({"g2"}, NewsScope::Own, Millis{1300});
+    const std::vector<GatewayCrash> news = quarantine.reportFor({"g2"}, UpdateScope::Own, Millis{1300});
     CHECK(news.size() == 256);
     REQUIRE(news.size() > 2);
     CHECK(news[0].caller == last.caller);
@@ -321,7 +321,7 @@
             {"g2"},
             {{1, 2, target(i), Millis::never(), Millis::never()}, {1, 3, target(i), Millis{-5}, Millis{-9}}},
             Millis{1000},
-            NewsScope::All);
+            UpdateScope::All);
     }
     CHECK_FALSE(quarantine.refusedFor({1, 2}, Millis{1000}));
     CHECK_FALSE(quarantine.refusedFor({1, 3}, Millis{1000}));
--- a/sequoiausher/coordination/gateway/restoredstore.cpp
+++ b/sequoiausher/coordination/gateway/restoredstore.cpp
@@ -2,23 +2,23 @@
 
 namespace Sequoiausher {
 
-void RestoredStore::returned(Revision newest, Millis now)
+void RestoredStore::recordRestore(Revision newestVersion, Millis now)
 {
-    this->returnedAt = now;
-    this->newestBefore = newest;
-    this->copied.reset();
+    this->restoredAt = now;
+    this->newestBeforeRestore = newestVersion;
+    this->copyRevision.reset();
 }
 
-bool RestoredStore::proves(Revision version, Revision writtenAt, Millis now)
+bool RestoredStore::provesNewest(Revision version, Revision writtenAt, Millis now)
 {
-    if (!this->returnedAt || version > this->newestBefore) {
+    if (!this->restoredAt || version > this->newestBeforeRestore) {
         return true;
     }
-    this->copied = this->copied.value_or(writtenAt);
-    if (version < this->newestBefore) {
+    this->copyRevision = this->copyRevision.value_or(writtenAt);
+    if (version < this->newestBeforeRestore) {
         return false;
     }
-    return writtenAt != *this->copied || now >= *this->returnedAt + rewriteTime;
+    return writtenAt != *this->copyRevision || now >= *this->restoredAt + rewriteTime;
 }
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/gateway/restoredstore.h
+++ b/sequoiausher/coordination/gateway/restoredstore.h
@@ -1,12 +1,13 @@
 #pragma once
 
-// What a reading of the configuration proves once the store has come back from a copy. The copy may hold an older
-// version than the one in force, or the one in force though a newer one was accepted after the copy was made; the
-// operator writes again what was lost. Until that is done such a reading is no proof that nothing newer was published.
+// What a read of the configuration proves after the store was restored from a copy. The copy may hold an older version
+// than the newest known one. Or it holds the newest known one, but a newer one, which no gateway has read, was accepted
+// after the copy was made. The operator then writes the lost versions again. Until that is done, a read is no proof
+// that nothing newer was published.
 //
 //     RestoredStore restored;
-//     restored.returned(newestVersion, now);
-//     if (restored.proves(version, writtenAt, now)) { freshness.recordProof(version, readAt); }
+//     restored.recordRestore(newestVersion, now);
+//     if (restored.provesNewest(version, writtenAt, now)) { freshness.recordProof(version, readAt); }
 
 #include "sequoiausher/base/identifiers.h"
 #include "sequoiausher/base/millis.h"
@@ -15,23 +16,27 @@
 
 namespace Sequoiausher {
 
-/** Within so long after its return the store has again what was written since the copy was made. */
+/** The time after a restore within which data written since the copy was made is written again. */
 inline constexpr Millis rewriteTime{2000};
 
-/** The last return of a store. Not thread-safe. */
+/** The last restore of a store from a copy. Not thread-safe. */
 class RestoredStore
 {
 public:
-    /** @param newest the newest version that was known to be published before. */
-    void returned(Revision newest, Millis now);
-    /** @param writtenAt the store's position at which the version was written. */
-    bool proves(Revision version, Revision writtenAt, Millis now);
+    /** @param newestVersion the newest version that was known to be published before. */
+    void recordRestore(Revision newestVersion, Millis now);
+    /**
+     * Whether a read of this version proves that no newer one was published. The first read of a known version after a
+     * restore is taken as the copy's state.
+     * @param writtenAt the store's position at which the version was written.
+     */
+    bool provesNewest(Revision version, Revision writtenAt, Millis now);
 
 private:
-    std::optional<Millis> returnedAt;
-    Revision newestBefore = 0;
-    /** Where the first reading after the return said that its version was written. */
-    std::optional<Revision> copied;
+    std::optional<Millis> restoredAt;
+    Revision newestBeforeRestore = 0;
+    /** The position at which the version in the first read of a known version after the restore was written. */
+    std::optional<Revision> copyRevision;
 };
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/gateway/routetable.cpp
+++ b/sequoiausher/coordination/gateway/routetable.cpp
@@ -10,12 +10,13 @@
 
 namespace {
 
-/** The host in lower case without its port. */
-std::string plainHost(std::string_view host)
+/** Returns the host in lower case without its port. */
+std::string normaliseHost(std::string_view host)
 {
-    std::string plain(host.substr(0, host.find(':')));
-    std::transform(plain.begin(), plain.end(), plain.begin(), [](unsigned char c) { return std::tolower(c); });
-    return plain;
+    std::string normalised(host.substr(0, host.find(':')));
+    std::transform(
+        normalised.begin(), normalised.end(), normalised.begin(), [](unsigned char c) { return std::tolower(c); });
+    return normalised;
 }
 
 } // namespace
@@ -23,10 +24,10 @@
 class RouteTable::Private
 {
 public:
-    explicit Private(GatewayConfiguration with) : configuration(std::move(with))
+    explicit Private(GatewayConfiguration newConfiguration) : configuration(std::move(newConfiguration))
     {
         for (const GatewayRoute &route : this->configuration.routes) {
-            this->byHost[plainHost(route.host)].emplace(route.pathPrefix, &route);
+            this->byHost[normaliseHost(route.host)].emplace(route.pathPrefix, &route);
         }
         for (const GatewayOrganisation &organisation : this->configuration.organisations) {
             for (const std::string &key : organisation.keys) {
@@ -57,14 +58,15 @@
     return this->d->configuration;
 }
 
-const GatewayRoute *RouteTable::find(std::string_view host, std::string_view target) const
+const GatewayRoute *RouteTable::find(std::string_view host, std::string_view pathAndQuery) const
 {
-    const auto routes = this->d->byHost.find(plainHost(host));
+    const auto routes = this->d->byHost.find(normaliseHost(host));
     if (routes == this->d->byHost.end()) {
         return nullptr;
     }
-    // Prefixes end with a slash, so only what ends with one can be a prefix: from the longest to the shortest.
-    const std::string_view path = target.substr(0, target.find('?'));
+    // Path prefixes end with a slash, so only a beginning of the path that ends with one can match. Tries the longest
+    // first.
+    const std::string_view path = pathAndQuery.substr(0, pathAndQuery.find('?'));
     std::size_t slash = path.rfind('/');
     while (slash != std::string_view::npos) {
         const auto found = routes->second.find(std::string(path.substr(0, slash + 1)));
@@ -93,18 +95,18 @@
     return found != this->d->byName.end() ? found->second : nullptr;
 }
 
-const PoolId &RouteTable::serviceFor(const GatewayRoute &route, std::uint64_t hash)
+const PoolId &RouteTable::chooseService(const GatewayRoute &route, std::uint64_t hash)
 {
     std::uint64_t total = 0;
     for (const ServiceShare &share : route.services) {
         total += share.weight;
     }
-    std::uint64_t place = total > 0 ? hash % total : 0;
+    std::uint64_t position = total > 0 ? hash % total : 0;
     for (const ServiceShare &share : route.services) {
-        if (place < share.weight) {
+        if (position < share.weight) {
             return share.service;
         }
-        place -= share.weight;
+        position -= share.weight;
     }
     return route.services.front().service;
 }
--- a/sequoiausher/coordination/gateway/targethealthscore.h
+++ b/sequoiausher/coordination/gateway/targethealthscore.h
@@ -1,11 +1,12 @@
 #pragma once
 
-// Whether one target fails too often to be sent more, by what became of the requests sent there. Nothing is probed: a
-// target that is kept away from is tried again by one request after a growing pause.
+// Whether one target fails too often to get more requests, judged by the outcomes of the requests sent to it. There are
+// no health checks: after an ejection time that grows, the target gets requests again. If they fail too, it is ejected
+// again.
 //
 //     TargetHealthScore health;
-//     health.failed(now, FailureWeight::Heavy);
-//     if (health.isAvoided(now)) { ... }
+//     health.recordFailure(now, FailureWeight::Heavy);
+//     if (health.isEjected(now)) { ... }
 
 #include "sequoiausher/base/millis.h"
 
@@ -13,11 +14,11 @@
 
 namespace Sequoiausher {
 
-/** How much a failure says of the target. */
+/** How strongly a failure indicates that the target is unhealthy. */
 enum class FailureWeight {
-    /** An answer that says it failed: plain services give some at all times. */
+    /** An answer with an error status: plain services give some at all times. */
     Light,
-    /** No answer, or one that was cut or spoilt. */
+    /** No answer, or an answer that was cut off or corrupted. */
     Heavy,
 };
 
@@ -25,21 +26,22 @@
 class TargetHealthScore
 {
 public:
-    void succeeded(Millis now);
-    void failed(Millis now, FailureWeight weight);
-    /** A peer keeps away from the target. */
-    void suspectedByPeer(Millis now);
+    void recordSuccess(Millis now);
+    void recordFailure(Millis now, FailureWeight weight);
+    /** Records that a peer has ejected the target. The ejection counts only where this gateway's own requests fail too.
+     */
+    void recordPeerSuspicion(Millis now);
 
-    /** Whether requests should go elsewhere. */
-    bool isAvoided(Millis now) const;
+    /** Whether requests should go to other targets. */
+    bool isEjected(Millis now) const;
 
 private:
-    void avoid(Millis now);
+    void eject(Millis now);
 
-    double share = 0;
-    std::uint32_t inARow = 0;
-    std::uint32_t pauses = 0;
-    Millis avoidedUntil;
+    double failureRate = 0;
+    std::uint32_t heavyFailuresSinceSuccess = 0;
+    std::uint32_t ejections = 0;
+    Millis ejectedUntil;
 };
 
 } // namespace Sequoiausher
--- a/sequoiausher/transport/gateway/gatewayadmission.cpp
+++ b/sequoiausher/transport/gateway/gatewayadmission.cpp
@@ -145,14 +145,14 @@
 
 std::optional<GatewayRefusal> Admission::decide()
 {
-    this->admitted.service = RouteTable::serviceFor(*this->admitted.route, hash64(this->admitted.request.attemptId));
+    this->admitted.service = RouteTable::chooseService(*this->admitted.route, hash64(this->admitted.request.attemptId));
     std::vector<std::uint64_t> hashes;
     for (const PromptPart &part : this->admitted.request.parts) {
         hashes.push_back(hash64(part.id));
     }
     this->admitted.parts = PromptParts(hashes);
     this->admitted.partHash
-        = this->admitted.parts.empty() ? hash64(this->admitted.request.attemptId) : this->admitted.parts.last();
+        = this->admitted.parts.empty() ? hash64(this->admitted.request.attemptId) : this->admitted.parts.lastShared();
     const std::optional<Decision> decided = this->context.rules->decide(this->facts());
     this->admitted.labels = {this->admitted.organisation, this->admitted.requestClass, {}, {}};
     if (!decided) {
