--- a/sequoiausher/coordination/messages/admissionmessages.h
+++ b/sequoiausher/coordination/messages/admissionmessages.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// Messages between an entry, which wants a target for a request, and the owner of the pool's shard, which counts
-// exactly what is in flight on each of the shard's targets.
+// Messages between an entry, the router that received a client's request and needs a target for it, and the owner of
+// the pool's shard. The owner keeps an exact count of the requests in flight on each target of the shard.
 //
-//     ReserveRequest{request, pool, shard, chat} -> ReserveReply{request, ReserveVerdict::Granted, target}
+//     ReserveRequest{request, pool, shard, chatHash} -> ReserveReply{request, ReserveVerdict::Granted, target}
 //     Release{request, pool, shard}
 
 #include "sequoiausher/base/identifiers.h"
@@ -15,7 +15,7 @@
 
 namespace Sequoiausher {
 
-/** How a target is chosen among a pool's. */
+/** The load balancing policy that chooses a target of a pool. */
 enum class PolicyKind {
     RoundRobin,
     Rendezvous,
@@ -39,14 +39,14 @@
     {PolicyKind::RoomRendezvous, "room-rendezvous"},
 });
 
-/** What an owner answers to a reservation. */
+/** An owner's answer to a reservation request. */
 enum class ReserveVerdict {
     Granted,
-    /** Every target that may be used is at its bound or capacity; come back after retryAfter. */
+    /** Every usable target is at its load bound or capacity; the entry may retry after retryAfter. */
     Full,
-    /** The owner knows no live target of this pool. */
+    /** The shard has no target that this request may use. */
     NoTarget,
-    /** The receiver does not own the shard by its own list. */
+    /** The receiver is not the shard's owner by its own list of instances. */
     NotOwner,
 };
 
@@ -58,44 +58,44 @@
     {ReserveVerdict::NotOwner, "not-owner"},
 });
 
-/** Entry to owner: choose a target for this request and count it. */
+/** Entry to owner: asks the owner to choose a target for this request and to count the request there. */
 struct ReserveRequest
 {
     RequestId request;
     PoolId pool;
-    /** Which part of the pool: 0 to the number of shards less one. */
+    /** Index of the pool's shard, from 0 to the number of shards less one. */
     std::uint32_t shard = 0;
     std::uint64_t chatHash = 0;
     PolicyKind policy = PolicyKind::BoundedRendezvous;
-    /** The set multiple of the mean, in percent: 125 is 1.25. */
+    /** The load bound of a target, in percent of the mean load: 125 is 1.25 times the mean. */
     std::uint32_t boundPercent = 125;
-    /** Targets that the entry tried and found unusable for this request. */
+    /** Targets that the entry tried for this request and found unusable. */
     std::vector<TargetId> excluded;
-    /** A target's last places are kept for the more important classes. */
+    /** The last free places of a target are reserved for the more important classes. */
     RequestClass requestClass = RequestClass::Interactive;
-    /** Of the prompt prefix that the chat shares with others; 0 where none is known. */
+    /** Hash of the prompt prefix that the chat shares with other chats; 0 if there is no known prefix. */
     std::uint64_t prefixHash = 0;
-    /** A hash of the organisation; 0 where the entry does not tell it. */
+    /** Hash of the organisation's name; 0 if the entry does not send it. */
     std::uint16_t organisation = 0;
 
     bool operator==(const ReserveRequest &) const = default;
 };
 
-/** Owner to entry. */
+/** Owner to entry: the answer to a ReserveRequest. */
 struct ReserveReply
 {
     RequestId request;
     ReserveVerdict verdict = ReserveVerdict::NotOwner;
-    /** Set where granted. */
+    /** Set with Granted only. */
     TargetId target;
     Millis retryAfter;
-    /** With NotOwner alone: the owner by the answerer's list; empty where it does not know the shard. */
+    /** With NotOwner only: the owner by the list of the answering instance; empty if the shard is not on that list. */
     InstanceId owner;
 
     bool operator==(const ReserveReply &) const = default;
 };
 
-/** Entry to owner: the request no longer uses its target. Sent again for a request already released it is a no-op. */
+/** Entry to owner: the request no longer uses its target. Releasing a request again is a no-op. */
 struct Release
 {
     RequestId request;
@@ -115,31 +115,32 @@
 };
 
 /**
- * Entry to owner: everything that the entry holds in this shard. Sent at an interval, and at once to a new owner.
- * The owner replaces what it counted for the entry, so lost releases and crashed entries do not leak.
+ * Entry to owner: all reservations that the entry holds in this shard. Sent at an interval, and at once to a new owner.
+ * The owner replaces its count for the entry by the report, so lost releases and crashed entries leak no reservations.
  */
 struct HoldingsReport
 {
     PoolId pool;
     std::uint32_t shard = 0;
-    /** Grows with every report of one entry; an older one arriving late is dropped. */
+    /** Increases with every report of an entry; the owner drops reports that arrive out of order. */
     std::uint64_t sequence = 0;
     std::vector<Holding> holdings;
-    /** The entry would send digests from now on, and waits for the owner to say that it takes them. */
+    /** Asks whether the owner supports digests. The entry sends digests only after a HoldingsAnswer. */
     bool wantsAnswer = false;
 
     bool operator==(const HoldingsReport &) const = default;
 };
 
 /**
- * Entry to owner, in place of a HoldingsReport once the owner takes digests: how many reservations the entry holds in
- * this shard, and a digest of their ids. Where the owner counts the same ones, the report would change nothing.
+ * Entry to owner, in place of a HoldingsReport to an owner that supports digests: the number of reservations that the
+ * entry holds in this shard, and a digest of their ids. If both match the owner's count, a full report would change
+ * nothing.
  */
 struct HoldingsDigest
 {
     PoolId pool;
     std::uint32_t shard = 0;
-    /** Grows together with that of the reports. */
+    /** Increases with every report and digest: both use the same counter. */
     std::uint64_t sequence = 0;
     std::uint32_t count = 0;
     std::uint64_t digest = 0;
@@ -147,7 +148,7 @@
     bool operator==(const HoldingsDigest &) const = default;
 };
 
-/** Owner to entry: it takes digests, or it counts something else than a digest said and wants the report. */
+/** Owner to entry: the owner supports digests, or it needs a full report, as after a digest that does not match. */
 struct HoldingsAnswer
 {
     PoolId pool;
--- a/sequoiausher/coordination/messages/answermessages.h
+++ b/sequoiausher/coordination/messages/answermessages.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Messages by which a router that stops hands its kept answers to those that stay.
+// Messages by which a stopping router hands over the answers that it keeps for retries to routers that stay.
 //
 //     AnswerPage{handover, 1, {fragment, ...}}  ->  AnswerPageAck{handover, 1}
 
@@ -10,30 +10,30 @@
 
 namespace Sequoiausher {
 
-/** A part of one answer's body, with what the whole answer is. */
+/** A part of the body of an answer, with the description of the whole answer. */
 struct AnswerFragment
 {
     KeptAnswer answer;
-    /** Where in the body bytes begin. */
+    /** Position of the first of bytes in the body. */
     std::uint64_t offset = 0;
     std::string bytes;
 
     bool operator==(const AnswerFragment &) const = default;
 };
 
-/** Leaving router to one that stays: keep these for me. */
+/** Stopping router to a router that stays: a page of answers for the receiver to keep. */
 struct AnswerPage
 {
-    /** Names this hand-over; other for each life of the giver. */
+    /** Identifies this hand-over; differs each time the giver is started. */
     std::uint64_t handover = 0;
-    /** Counts the pages of the hand-over. */
+    /** Number of the page within the hand-over. */
     std::uint64_t sequence = 0;
     std::vector<AnswerFragment> fragments;
 
     bool operator==(const AnswerPage &) const = default;
 };
 
-/** Back: the page arrived and need not come again. It does not say that every answer of it is kept. */
+/** Receiver to giver: the page arrived and need not be sent again. The receiver may not have kept all its answers. */
 struct AnswerPageAck
 {
     std::uint64_t handover = 0;
--- a/sequoiausher/coordination/messages/attachmessages.h
+++ b/sequoiausher/coordination/messages/attachmessages.h
@@ -1,6 +1,9 @@
 #pragma once
 
-// Messages by which a retry that reached another router attaches to the answer that the first router runs or keeps.
+// Messages by which a retry that reached another router attaches to the answer of the first attempt. The holder is the
+// router that runs the first attempt or keeps its answer.
+//
+//     AttachRequest{attachment, key, attempt} -> AttachReply{attachment, AttachVerdict::Follows, 200, contentType}
 
 #include "sequoiausher/base/identifiers.h"
 #include "sequoiausher/base/nametable.h"
@@ -9,15 +12,15 @@
 
 namespace Sequoiausher {
 
-/** What the holder of a claim knows of the attempt. */
+/** The state of an attempt at the holder of its claim. */
 enum class AttachVerdict {
     /** The answer is running or kept; chunks follow. */
     Follows,
-    /** The attempt was given up before dispatch: it did not run, the claim is free again. */
+    /** The attempt was abandoned before dispatch: it did not run, and the claim is free again. */
     NotRun,
-    /** The holder does not know the attempt, having restarted, or no longer keeps its answer. */
+    /** The holder has no record of the attempt, as after a restart, or no longer keeps its answer. */
     Unknown,
-    /** The attempt is running and has no answer yet; another reply follows. */
+    /** The attempt is running and has no answer head yet; another reply follows. */
     Waits,
 };
 
@@ -29,10 +32,10 @@
     {AttachVerdict::Waits, "waits"},
 });
 
-/** Retrying entry to holder: send me the answer of attempt from its start. */
+/** Retrying entry to holder: asks for the answer of an attempt from its start. */
 struct AttachRequest
 {
-    /** The retry's own request, which names this attachment in every later message. */
+    /** The id of the retry's own request, which identifies this attachment in all later messages. */
     RequestId attachment;
     ClaimKey key;
     RequestId attempt;
@@ -40,7 +43,7 @@
     bool operator==(const AttachRequest &) const = default;
 };
 
-/** Holder to retrying entry: what is known; with Follows, the head of the answer. */
+/** Holder to retrying entry: the state of the attempt and, with Follows, the head of the answer. */
 struct AttachReply
 {
     RequestId attachment;
@@ -61,20 +64,20 @@
     bool operator==(const AttachChunk &) const = default;
 };
 
-/** Holder to retrying entry: the body ends. */
+/** Holder to retrying entry: the end of the body. */
 struct AttachEnd
 {
     RequestId attachment;
-    /** The whole answer was sent; otherwise it broke off at the holder, and reason says why. */
+    /** Whether the whole answer was sent. If not, the answer broke off at the holder, and reason is set. */
     bool complete = false;
     std::string reason;
-    /** With complete: the bytes of the body. A part that was lost before the end shows by it. */
+    /** With complete: the length of the body in bytes, by which the receiver detects lost chunks. */
     std::uint64_t length = 0;
 
     bool operator==(const AttachEnd &) const = default;
 };
 
-/** Retrying entry to holder: send no more. */
+/** Retrying entry to holder: stops the attachment. */
 struct AttachCancel
 {
     RequestId attachment;
--- a/sequoiausher/coordination/messages/claimmessages.h
+++ b/sequoiausher/coordination/messages/claimmessages.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Messages by which an entry claims an idempotency key at the key's witnesses before it dispatches a request.
+// Messages by which an entry claims an idempotency key at the key's witnesses before it dispatches a request. The
+// witnesses are the routers that record the claims of the key and vote on them.
 //
 //     ClaimRequest{key, attempt, 1, bodyDigest}  ->  ClaimVote{key, attempt, 1, ClaimVerdict::Granted}
 
@@ -12,15 +13,15 @@
 
 namespace Sequoiausher {
 
-/** What a witness answers to a claim. */
+/** A witness's vote on a claim. */
 enum class ClaimVerdict {
-    /** The key is now this attempt's, or was already. */
+    /** This attempt holds the key, by this request or by an earlier one. */
     Granted,
-    /** The key is another attempt's: holder and heldBy say whose. */
+    /** Another attempt holds the key: see holder and heldBy. */
     Held,
     /** The key was used before for a different request body. */
     BodyDiffers,
-    /** The witness may have forgotten claims and does not vote yet. */
+    /** The witness may lack earlier claims and does not vote yet. */
     Abstains,
 };
 
@@ -32,36 +33,36 @@
     {ClaimVerdict::Abstains, "abstains"},
 });
 
-/** Entry to witness: remember that attempt claims key. */
+/** Entry to witness: asks the witness to record the attempt's claim of the key. */
 struct ClaimRequest
 {
     ClaimKey key;
-    /** The request that claims; unique for each client call. */
+    /** The id of the claiming request; unique for each client call. */
     RequestId attempt;
-    /** Counts the tries of one attempt, so that a late vote or withdrawal of an earlier try is told apart. */
+    /** Number of the attempt's voting round, by which a late vote or withdrawal of an earlier round is recognised. */
     std::uint32_t round = 0;
     std::uint64_t bodyDigest = 0;
 
     bool operator==(const ClaimRequest &) const = default;
 };
 
-/** Witness to entry. */
+/** Witness to entry: the answer to a ClaimRequest. */
 struct ClaimVote
 {
     ClaimKey key;
     RequestId attempt;
     std::uint32_t round = 0;
     ClaimVerdict verdict = ClaimVerdict::Abstains;
-    /** With Held and BodyDiffers: the instance and the attempt that hold the key. */
+    /** With Held and BodyDiffers: the instance whose attempt heldBy holds the key. */
     InstanceId holder;
     RequestId heldBy;
-    /** With Abstains: when the witness expects to vote for this key; zero where it does not know. */
+    /** With Abstains: the time until the witness expects to vote on this key; zero if unknown. */
     Millis retryAfter;
 
     bool operator==(const ClaimVote &) const = default;
 };
 
-/** Entry to witness: this attempt was not and will not be dispatched under this or an earlier round. */
+/** Entry to witness: the attempt was not and will not be dispatched in this round or an earlier one. */
 struct ClaimWithdraw
 {
     ClaimKey key;
@@ -71,7 +72,7 @@
     bool operator==(const ClaimWithdraw &) const = default;
 };
 
-/** One remembered claim, as witnesses hand it to each other. */
+/** A recorded claim, as witnesses pass it to each other. */
 struct ClaimRecord
 {
     ClaimKey key;
@@ -79,34 +80,41 @@
     std::uint32_t round = 0;
     std::uint64_t bodyDigest = 0;
     InstanceId holder;
-    /** How long ago the giver first recorded it. */
+    /** Time since the giver first recorded the claim. */
     Millis age;
 
     bool operator==(const ClaimRecord &) const = default;
 };
 
-/** A fresh witness asks another for the claims that both witness, or all of them at or after a key, page by page. */
+/**
+ * Asks another witness for one page of its claims at or after a key. Sent by a witness that may lack earlier claims.
+ * The page holds claims of keys that the asking instance may witness too, or of all keys if the asking instance is not
+ * on the giver's list.
+ */
 struct ClaimPull
 {
-    /** Identifies the pull; answers to an earlier one are dropped. */
+    /** Identifies the pull; pages of an earlier pull are dropped. */
     std::uint64_t pull = 0;
-    /** The first key wanted; the zero key starts. */
+    /** The first key of the page; the zero key for the first page. */
     ClaimKey from;
 
     bool operator==(const ClaimPull &) const = default;
 };
 
-/** One page of claims: the answer to ClaimPull, or unasked from a witness that leaves (pull is 0). */
+/** A page of claims: the answer to a ClaimPull, or unrequested from a witness that is leaving (pull is 0). */
 struct ClaimPage
 {
     std::uint64_t pull = 0;
-    /** The giver may itself have forgotten claims, so its pages do not count towards a hand-over. */
+    /** The giver may lack earlier claims itself, so its pages do not count towards a hand-over. */
     bool giverAbstains = false;
-    /** The giver still learns keys that a change of the list made it a witness of; a fresh witness asks it again. */
+    /**
+     * The giver is still pulling claims that it may lack since its start or a change of its list of instances. A
+     * witness that lacks earlier claims itself pulls from this giver again.
+     */
     bool giverLearns = false;
     /** No page follows. */
     bool last = false;
-    /** Where not last: the key from which the next page starts. */
+    /** If not last: the first key of the next page. */
     ClaimKey next;
     std::vector<ClaimRecord> records;
 
--- a/sequoiausher/coordination/messages/documentmessages.h
+++ b/sequoiausher/coordination/messages/documentmessages.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Messages that spread configuration documents between routers: pushes of what is new, digests that find what a push
-// missed, and pulls that repair it.
+// Messages that spread configuration documents between routers: pushes carry new documents, digests find documents that
+// a push missed, and pulls fetch these.
 
 #include "sequoiausher/state/documents/document.h"
 
@@ -9,31 +9,32 @@
 
 namespace Sequoiausher {
 
-/** New documents, to be stored and passed on. */
+/** Documents for the receiver to store and, if they are new to it, to forward. */
 struct DocumentPush
 {
     std::vector<Document> documents;
-    /** How often these were passed on already, which bounds the spread; 0 in the answer to a pull and in a repair. */
+    /** How often the documents were forwarded, which bounds the spread; 0 in the answer to a pull and in a repair. */
     std::uint32_t hops = 0;
 
     bool operator==(const DocumentPush &) const = default;
 };
 
 /**
- * What the sender knows, without bodies. Three uses:
- * - announcement: exchange is 0, versions name what is new at the sender;
- * - request: exchange is not 0, wantsAnswer, buckets hold DocumentTable::bucketDigests();
- * - answer: the request's exchange, covered and versions say all that the sender knows in the buckets that differ.
+ * Versions or digests of the sender's documents, without their bodies. It has three uses:
+ * - announcement: exchange is 0, and versions lists documents that are new at the sender;
+ * - request: exchange is not 0, wantsAnswer is set, and buckets holds DocumentTable::bucketDigests();
+ * - answer: exchange is that of the request, covered lists buckets whose digests differ, and versions lists all
+ *   documents that the sender has in these buckets.
  */
 struct DocumentDigest
 {
     std::vector<DocumentVersion> versions;
-    /** The receiver shall answer with its own digest for what it knows and the sender does not. */
+    /** The receiver shall answer with its own versions in the buckets that differ. */
     bool wantsAnswer = false;
-    /** Ties an answer to its request; an answer to an earlier one is dropped. */
+    /** Matches an answer to its request; an answer to an earlier request is dropped. */
     std::uint64_t exchange = 0;
     std::vector<std::uint64_t> buckets;
-    /** The buckets of which versions tells everything, rising. */
+    /** The buckets for which versions is complete, in ascending order. */
     std::vector<std::uint32_t> covered;
     /** In an answer: the sender is ready and covered holds every bucket that differed. */
     bool complete = false;
@@ -41,7 +42,7 @@
     bool operator==(const DocumentDigest &) const = default;
 };
 
-/** Send me these. */
+/** Asks the receiver for the documents with these names. */
 struct DocumentPull
 {
     std::vector<std::string> names;
--- a/sequoiausher/coordination/messages/gatewaymessages.h
+++ b/sequoiausher/coordination/messages/gatewaymessages.h
@@ -1,11 +1,11 @@
 #pragma once
 
-// What gateways tell each other every few hundred milliseconds: how fresh their configuration is, which targets they
-// know, and what they hold in flight.
+// The report that gateways send each other every few hundred milliseconds: the age of their configuration, the revision
+// of their target list, and their requests in flight.
 //
 //     GatewayReport report;
 //     report.sentAt = now;
-//     report.echo = newestReportOf(peer).sentAt;      // lets the peer date what this report proves by its own clock
+//     report.echo = newestReportOf(peer).sentAt;      // lets the peer date this report's ages by its own clock
 
 #include "sequoiausher/base/identifiers.h"
 #include "sequoiausher/base/millis.h"
@@ -15,97 +15,100 @@
 
 namespace Sequoiausher {
 
-/** What the sender has in flight at one target. */
+/** The number of the sender's requests in flight at one target. */
 struct GatewayLoad
 {
     TargetId target;
     std::uint32_t inFlight = 0;
-    /** The sender keeps away from the target for a while, since requests failed there. */
+    /** The sender avoids the target for a while, because requests failed there. */
     bool suspected = false;
 
     bool operator==(const GatewayLoad &) const = default;
 };
 
-/** A target to which the sender sent a request with a shared part of a prompt. */
+/** A target that received a request with a shared prompt part. */
 struct GatewayPlacement
 {
-    /** hash64 of the part's id. */
+    /** hash64 of the prompt part's id. */
     std::uint64_t part = 0;
     TargetId target;
 
     bool operator==(const GatewayPlacement &) const = default;
 };
 
-/** A target that ended while it had a request, or a whole answer to a request that was suspected of ending targets. */
+/** A target that ended while it ran a request, or a whole answer to a request suspected of crashing targets. */
 struct GatewayCrash
 {
-    /** The request's fingerprint. */
+    /** caller and content are the request's fingerprint. */
     std::uint64_t caller = 0;
     std::uint64_t content = 0;
     /** Empty for a whole answer. */
     TargetId target;
-    /** How long ago. */
+    /** Time since the target ended, or since the whole answer. */
     Millis age;
-    /** How long the target had had the request. */
+    /** How long the target had the request before it ended; 0 for a whole answer. */
     Millis ranFor;
 
     bool operator==(const GatewayCrash &) const = default;
 };
 
-/** A gateway that the sender knows of. */
+/** A gateway on the sender's list of gateways. */
 struct GatewayMember
 {
     /** Its address for peers. */
     InstanceId instance;
-    /** How long ago anybody heard from it, as far as the gateways on the way know. */
+    /** Time since any gateway received a report from this one, as far as the gateways on the path know. */
     Millis age;
-    /** How much it can carry beside its callers' requests; hubs are the strongest. */
+    /** Relative capacity beside its callers' requests, without unit; the strongest gateways are hubs. */
     std::uint16_t strength = 0;
-    /** Where it stands; empty where nobody on the way tells. */
+    /** The gateway's data centre; empty if no gateway on the path sends it. */
     DataCentreId dataCentre;
 
     bool operator==(const GatewayMember &) const = default;
 };
 
-/** What one gateway says to another. */
+/** A report from one gateway to another. */
 struct GatewayReport
 {
-    /** The sender's monotonic clock. Only the sender reads it again, as an echo. */
+    /** Time of sending by the sender's monotonic clock. Only the sender interprets it, when it returns as echo. */
     Millis sentAt;
-    /** sentAt of the newest report that the sender has from the receiver; 0 before the first. */
+    /** sentAt of the newest report that the sender received from the receiver; 0 before the first report. */
     Millis echo;
-    /** The version of the routes, services and keys in force at the sender; 0 before the first. */
+    /** The version of the routes, services and keys in use at the sender; 0 before the first configuration. */
     Revision configuration = 0;
-    /** How long ago the sender knew that no newer version was published; never() where it does not know. */
+    /** Time since the configuration was last confirmed as the newest published version; never() if unknown. */
     Millis proofAge = Millis::never();
-    /** How long ago the store answered the sender itself; never() where it has not. */
+    /**
+     * Age of the sender's newest information from the store, read by itself or by a peer; never() if it has none, or if
+     * its list of targets keeps entries that may be gone.
+     */
     Millis storeAge = Millis::never();
-    /** The store's revision to which the sender's list of targets is up to date. */
+    /** The store's revision up to which the sender's list of targets is complete. */
     Revision targets = 0;
-    /** The gateways that the sender has heard of lately. */
+    /** The gateways that were recently active, as far as the sender knows; left out of some reports. */
     std::vector<GatewayMember> members;
-    /** What is in flight from the sender and those for whom it speaks, the receiver not among them. */
+    /** Requests in flight of the sender and of the gateways that a hub reports for, without the receiver's own. */
     std::vector<GatewayLoad> loads;
-    /** Since the last report to the receiver. */
+    /** Placements that are new since the last report to the receiver, or due to be repeated. */
     std::vector<GatewayPlacement> placements;
     /** The sender is stopping. */
     bool leaving = false;
-    /** The receiver shall answer with a report of its own at once. */
+    /** The receiver shall answer at once with its own report. */
     bool wantsReply = false;
-    /** It is such an answer, which is not answered again. */
+    /** This report answers another report, and gets no answer itself. */
     bool isReply = false;
-    /** The sender does not read the store itself while the receiver vouches for what it knows. */
+    /** The sender relies on its peers' reads of the store, or got no answer from the store lately. */
     bool isResting = false;
-    /** The sender's own, as GatewayMember has it. */
+    /** strength and dataCentre of the sender, as in GatewayMember. */
     std::uint16_t strength = 0;
     DataCentreId dataCentre;
-    /** The sender carries reports for others. */
+    /** The sender is a hub, which reports for other gateways too. */
     bool isHub = false;
-    /** The sender reads the store itself and was not without it lately. */
+    /** The sender reads the store itself and did not lose contact with the store lately. */
     bool isSettled = false;
-    /** The era of the store in which targets is a revision; 0 where the sender does not tell. */
+    /** The era of the store to which the revision in targets belongs; 0 if the sender does not send it. */
     std::uint64_t storeEra = 0;
-    /** What ended under which request, where that is new or the request is refused everywhere. */
+    /** Crashes and whole answers that are new, and crashes of requests that are refused fleet-wide. */
     std::vector<GatewayCrash> crashes;
 
     bool operator==(const GatewayReport &) const = default;
--- a/sequoiausher/coordination/messages/membershipmessages.h
+++ b/sequoiausher/coordination/messages/membershipmessages.h
@@ -1,6 +1,9 @@
 #pragma once
 
-// Messages by which routers learn of each other's lives, of targets that leave, and of how loaded the shards are.
+// Messages by which routers detect failed routers and gossip the life states of routers and targets, the load of shards
+// and the demand of organisations.
+//
+//     Probe{sequence, gossip} -> ProbeReply{sequence, self, gossip}
 
 #include "sequoiausher/base/identifiers.h"
 #include "sequoiausher/base/millis.h"
@@ -10,7 +13,7 @@
 
 namespace Sequoiausher {
 
-/** What is said of one router. */
+/** The life state of one router. */
 struct InstanceNews
 {
     InstanceId instance;
@@ -19,7 +22,7 @@
     bool operator==(const InstanceNews &) const = default;
 };
 
-/** What is said of one target. */
+/** The life state of one target. */
 struct TargetNews
 {
     TargetId target;
@@ -29,8 +32,9 @@
 };
 
 /**
- * Whether one router answers probes. Merges by (incarnation, refutation, suspected): a suspected router that hears of
- * it raises its refutation by one, which beats the suspicion everywhere. Saves time only and decides no safety.
+ * Whether one router answers probes. News merges by (incarnation, refutation, suspected): a router that receives a
+ * suspicion of itself raises its refutation by one, which overrides the suspicion everywhere. This only saves time;
+ * safety does not depend on it.
  */
 struct ReachNews
 {
@@ -42,74 +46,74 @@
     bool operator==(const ReachNews &) const = default;
 };
 
-/** What the owner of a shard counts in it. */
+/** The owner's totals for a shard. */
 struct ShardSum
 {
     PoolId pool;
     std::uint32_t shard = 0;
     std::uint32_t inFlight = 0;
     std::uint32_t targets = 0;
-    /** How long ago the owner counted, as far as the routers on the way know; the younger sum replaces the older. */
+    /** Time since the owner counted, as far as the routers on the path know; a younger sum replaces an older one. */
     Millis age;
 
     bool operator==(const ShardSum &) const = default;
 };
 
-/** How many requests of an organisation with a limit arrive. Where a rule limits it, the rule is in the name. */
+/** Arrival rate of requests of an organisation with a limit. If a rule sets the limit, the name includes the rule. */
 struct OrganisationDemand
 {
     OrganisationId organisation;
     double perSecond = 0;
-    /** Of a total: how long ago it was added up, as far as the routers on the way know. */
+    /** Totals only: time since the total was added up, as far as the routers on the path know. */
     Millis age{};
 
     bool operator==(const OrganisationDemand &) const = default;
 };
 
-/** What rides on every probe and every answer to one. */
+/** The news that every probe and every probe reply carries. */
 struct Gossip
 {
     std::vector<InstanceNews> instances;
     std::vector<TargetNews> targets;
     std::vector<ShardSum> sums;
     std::vector<ReachNews> reach;
-    /** What the sender sees itself, told to the router that adds it up; bounded by demandsPerReport. */
+    /** The sender's own demand, for the router that adds up the totals; at most demandsPerReport entries. */
     std::vector<OrganisationDemand> demands;
-    /** Totals over all routers, on their way to everybody. */
+    /** Totals over all routers, gossiped to the whole fleet. */
     std::vector<OrganisationDemand> fleetDemands;
-    /** Hash over the names and revisions of all documents known. */
+    /** Hash over the names and revisions of all documents of the sender. */
     std::uint64_t documentsDigest = 0;
-    /** Highest revision among them. */
+    /** Highest revision among these documents. */
     Revision highestRevision = 0;
-    /** How long ago some router last had an answer from the configuration service, as far as the sender knows;
-     *  negative where it knows of no answer. */
+    /** Time since any router last got an answer from the configuration service, as far as the sender knows; negative if
+     *  the sender knows of no answer. */
     Millis serviceAge{-1};
 
     bool operator==(const Gossip &) const = default;
 };
 
-/** Are you there? */
+/** Health check of another router. */
 struct Probe
 {
-    /** 0: no answer is wanted, the message only carries news. */
+    /** 0 if the message only carries news and gets no reply. */
     std::uint64_t sequence = 0;
     Gossip gossip;
 
     bool operator==(const Probe &) const = default;
 };
 
-/** I am; also the answer that a relay of an indirect probe passes back. */
+/** Reply to a Probe; also sent by the relay of an indirect probe to the router that asked for it. */
 struct ProbeReply
 {
     std::uint64_t sequence = 0;
-    /** Who answered; differs from the sender where the probe was indirect. */
+    /** The router that answered the probe; not the sender if the probe was indirect. */
     InstanceId about;
     Gossip gossip;
 
     bool operator==(const ProbeReply &) const = default;
 };
 
-/** Probe suspect for me: my own probe went unanswered. */
+/** Asks the receiver to probe suspect, which did not answer the sender's own probe. */
 struct IndirectProbe
 {
     std::uint64_t sequence = 0;
--- a/sequoiausher/coordination/messages/peermessage.h
+++ b/sequoiausher/coordination/messages/peermessage.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Every message between two routers, and the outbox through which the decisions hand messages to whoever carries
-// them.
+// The variant of all messages between two routers or two gateways, and the outbox in which the coordination code
+// returns messages for the transport to send.
 //
 //     Outbox outbox;
 //     witness.receive(now, from, claimRequest, outbox);
@@ -46,7 +46,7 @@
                                  AnswerPageAck,
                                  GatewayReport>;
 
-/** A message on its way to one router. */
+/** A message to be sent to one instance. */
 struct Outgoing
 {
     InstanceId to;
