--- a/sequoiausher/coordination/admission/admissionpropertytest.cpp
+++ b/sequoiausher/coordination/admission/admissionpropertytest.cpp
@@ -137,11 +137,12 @@
     {
         const InstanceId name = this->anyRouter();
         Outbox outbox;
-        PlacementRequest wanted{RequestId{1, ++this->lastRequest}, pool, this->random(), this->policy, percent, {}};
-        wanted.prefixHash = wanted.chatHash % prefixCount;
-        wanted.requestClass = static_cast<RequestClass>(this->lastRequest % requestClassCount);
-        wanted.organisation = static_cast<std::uint16_t>(1 + this->lastRequest % 5 / 2);
-        this->routers.at(name)->reserver.reserve(this->now, wanted, outbox);
+        PlacementRequest placementRequest{
+            RequestId{1, ++this->lastRequest}, pool, this->random(), this->policy, percent, {}};
+        placementRequest.prefixHash = placementRequest.chatHash % prefixCount;
+        placementRequest.requestClass = static_cast<RequestClass>(this->lastRequest % requestClassCount);
+        placementRequest.organisation = static_cast<std::uint16_t>(1 + this->lastRequest % 5 / 2);
+        this->routers.at(name)->reserver.reserve(this->now, placementRequest, outbox);
         this->collect(name);
         this->send(name, outbox);
     }
@@ -432,7 +433,7 @@
 }
 
 /** How far the fullest target exceeds the bound if each router chooses by its own counts alone. */
-std::uint64_t excessAlone(PolicyKind kind)
+std::uint64_t excessWithOwnCountsOnly(PolicyKind kind)
 {
     std::mt19937_64 random(3);
     std::vector<std::unique_ptr<Policy>> policies;
@@ -526,6 +527,6 @@
                                   PolicyKind::BoundedRendezvous,
                                   PolicyKind::PrefixRendezvous}) {
         CAPTURE(nameOf(kind));
-        CHECK(excessAlone(kind) > 0);
+        CHECK(excessWithOwnCountsOnly(kind) > 0);
     }
 }
--- a/sequoiausher/coordination/admission/localplacement.cpp
+++ b/sequoiausher/coordination/admission/localplacement.cpp
@@ -33,7 +33,7 @@
     const ReportedLoad *freshLoad(Millis now, const TargetView &target) const;
     PoolLoad loadOf(Millis now, const std::vector<TargetView> &live, const TargetCounts &heldCounts) const;
     std::uint64_t freePlacesOn(const TargetView &target,
-                               const TargetLoad &seen,
+                               const TargetLoad &targetLoad,
                                const PoolLoad &load,
                                std::uint32_t boundPercent,
                                const std::vector<InstanceId> &routers) const;
@@ -73,17 +73,17 @@
 }
 
 std::uint64_t LocalPlacement::Private::freePlacesOn(const TargetView &target,
-                                                    const TargetLoad &seen,
+                                                    const TargetLoad &targetLoad,
                                                     const PoolLoad &load,
                                                     std::uint32_t boundPercent,
                                                     const std::vector<InstanceId> &routers) const
 {
-    const HeadroomInput known{boundPercent, load.total, load.counted, seen.inFlight, target.description.capacity};
+    const HeadroomInput known{boundPercent, load.total, load.counted, targetLoad.inFlight, target.description.capacity};
     const std::size_t rank = routerRank(routers, this->self, target.hash);
     const std::uint64_t share = localShare(localHeadroom(known), rank, routers.size());
     // All local placements count, although the target's report may include some of them already: the report lags, and
     // it does not show which requests it includes.
-    const std::uint64_t used = countOf(this->localCounts, seen.target);
+    const std::uint64_t used = countOf(this->localCounts, targetLoad.target);
     return share > used ? share - used : 0;
 }
 
@@ -127,11 +127,11 @@
     });
     PoolLoad load = this->d->loadOf(now, live, heldCounts);
     for (std::size_t i = 0; i < live.size(); ++i) {
-        TargetLoad &seen = load.targets[i];
+        TargetLoad &targetLoad = load.targets[i];
         const auto &excluded = placementRequest.excluded;
-        const bool isExcluded = std::find(excluded.begin(), excluded.end(), seen.target) != excluded.end();
-        seen.usable = seen.usable && !isExcluded
-            && this->d->freePlacesOn(live[i], seen, load, placementRequest.boundPercent, routers) > 0;
+        const bool isExcluded = std::find(excluded.begin(), excluded.end(), targetLoad.target) != excluded.end();
+        targetLoad.usable = targetLoad.usable && !isExcluded
+            && this->d->freePlacesOn(live[i], targetLoad, load, placementRequest.boundPercent, routers) > 0;
     }
     std::unique_ptr<Policy> &policy = this->d->policies[placementRequest.policy];
     if (!policy) {
--- a/sequoiausher/coordination/admission/localsharetest.cpp
+++ b/sequoiausher/coordination/admission/localsharetest.cpp
@@ -84,13 +84,13 @@
                 placement.recordLoad(targets[i].description.target, ReportedLoad{1, each.loads[i], Millis{0}});
             }
             for (std::uint64_t chat = 0; chat < 200; ++chat) {
-                const PlacementRequest wanted{RequestId{0, chat},
-                                              PoolId{"p"},
-                                              hash64(std::to_string(chat)),
-                                              PolicyKind::BoundedRendezvous,
-                                              125,
-                                              {}};
-                const auto target = placement.choose(Millis{100}, wanted, targets, routers, {});
+                const PlacementRequest placementRequest{RequestId{0, chat},
+                                                        PoolId{"p"},
+                                                        hash64(std::to_string(chat)),
+                                                        PolicyKind::BoundedRendezvous,
+                                                        125,
+                                                        {}};
+                const auto target = placement.choose(Millis{100}, placementRequest, targets, routers, {});
                 if (target) {
                     placement.recordPlacement(*target);
                     carried[*target] += 1;
--- a/sequoiausher/coordination/admission/organisationshares.cpp
+++ b/sequoiausher/coordination/admission/organisationshares.cpp
@@ -29,13 +29,13 @@
 bool OrganisationShares::isAboveShare(std::uint16_t organisation, std::uint64_t capacity) const
 {
     const auto found = this->held.find(organisation);
-    return found != this->held.end() && found->second * this->held.size() >= maxEvenShares * capacity;
+    return found != this->held.end() && found->second * this->held.size() >= aboveShareFactor * capacity;
 }
 
 bool OrganisationShares::isAnyAboveShare(std::uint64_t capacity) const
 {
     return std::any_of(this->held.begin(), this->held.end(), [this, capacity](const auto &entry) {
-        return entry.second * this->held.size() >= maxEvenShares * capacity;
+        return entry.second * this->held.size() >= aboveShareFactor * capacity;
     });
 }
 
--- a/sequoiausher/coordination/admission/organisationshares.h
+++ b/sequoiausher/coordination/admission/organisationshares.h
@@ -29,14 +29,15 @@
      * requests would be above by chance: at a mean of two requests each, one in four of them at any time. With 2, it is
      * one in a hundred.
      */
-    static constexpr std::uint64_t maxEvenShares = 2;
+    static constexpr std::uint64_t aboveShareFactor = 2;
 
     void add(std::uint16_t organisation);
     void remove(std::uint16_t organisation);
 
     /**
-     * Whether the organisation holds at least maxEvenShares times the capacity divided by the number of organisations
-     * that hold something. Never true with one or two such organisations while the shard holds at most its capacity.
+     * Whether the organisation holds at least aboveShareFactor times the capacity divided by the number of
+     * organisations that hold something. Never true with one or two such organisations while the shard holds at most
+     * its capacity.
      */
     bool isAboveShare(std::uint16_t organisation, std::uint64_t capacity) const;
 
--- a/sequoiausher/coordination/admission/ownedshards.cpp
+++ b/sequoiausher/coordination/admission/ownedshards.cpp
@@ -99,9 +99,9 @@
     std::map<ShardId, OwnedShard> kept;
     this->d->otherOwners.clear();
     for (const ShardId &shard : map.shards()) {
-        InstanceId shardOwner = map.ownerOf(shard);
-        if (shardOwner != this->d->self) {
-            this->d->otherOwners[shard] = std::move(shardOwner);
+        InstanceId ownerId = map.ownerOf(shard);
+        if (ownerId != this->d->self) {
+            this->d->otherOwners[shard] = std::move(ownerId);
             continue;
         }
         OwnedShard &owned = kept[shard];
@@ -169,9 +169,9 @@
         return;
     }
     const auto other = this->d->otherOwners.find(ShardId{message.pool, message.shard});
-    InstanceId shardOwner = other == this->d->otherOwners.end() ? InstanceId{} : other->second;
+    InstanceId ownerId = other == this->d->otherOwners.end() ? InstanceId{} : other->second;
     outbox.push_back(
-        {from, ReserveReply{message.request, ReserveVerdict::NotOwner, TargetId{}, Millis{}, std::move(shardOwner)}});
+        {from, ReserveReply{message.request, ReserveVerdict::NotOwner, TargetId{}, Millis{}, std::move(ownerId)}});
 }
 
 void OwnedShards::receive(Millis now, const InstanceId &from, const Release &message)
--- a/sequoiausher/coordination/admission/placementrequest.h
+++ b/sequoiausher/coordination/admission/placementrequest.h
@@ -2,7 +2,8 @@
 
 // What admission needs to know about a request to reserve a target for it.
 //
-//     const PlacementRequest wanted{request, PoolId{"plates"}, chatHash, PolicyKind::BoundedRendezvous, 125, {}};
+//     const PlacementRequest placementRequest{request, PoolId{"plates"}, chatHash, PolicyKind::BoundedRendezvous, 125,
+//     {}};
 
 #include "sequoiausher/base/millis.h"
 #include "sequoiausher/coordination/messages/admissionmessages.h"
--- a/sequoiausher/coordination/admission/reserver.cpp
+++ b/sequoiausher/coordination/admission/reserver.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr int incarnationShift = 20;
+constexpr int sequenceBitsPerIncarnation = 20;
 // A router of this rank or higher in a target's rendezvous order has no local share while the target has this many free
 // places or fewer, so it does not query the target's load.
 constexpr std::size_t loadQueryRanks = 16;
@@ -22,7 +22,7 @@
 constexpr Millis lateRetryAfter{1};
 
 /** A reservation whose request has not been answered. */
-struct Pending
+struct PendingReservation
 {
     PlacementRequest placementRequest;
     RequestId reservation;
@@ -61,19 +61,19 @@
     {
     }
 
-    void sendRequest(Millis now, Pending &pending, Outbox &outbox);
-    void reroute(Millis now, Pending &pending, Outbox &outbox);
-    void requestFrom(Millis now, Pending &pending, const ShardRoute &route, Outbox &outbox);
-    void handleNotOwner(Millis now, Pending &pending, const InstanceId &named, Outbox &outbox);
-    void cancelPending(Pending &pending, Outbox &outbox) const;
-    void grant(const Pending &pending, const TargetId &target, bool isLocal);
+    void sendRequest(Millis now, PendingReservation &pendingReservation, Outbox &outbox);
+    void reroute(Millis now, PendingReservation &pendingReservation, Outbox &outbox);
+    void requestFrom(Millis now, PendingReservation &pendingReservation, const ShardRoute &route, Outbox &outbox);
+    void handleNotOwner(Millis now, PendingReservation &pendingReservation, const InstanceId &named, Outbox &outbox);
+    void cancelPending(PendingReservation &pendingReservation, Outbox &outbox) const;
+    void grant(const PendingReservation &pendingReservation, const TargetId &target, bool isLocal);
     void refuse(const RequestId &request, ReserveOutcome outcome, Millis retryAfter);
     void placeLocally(Millis now, const RequestId &request);
     void handleTimeout(Millis now, const RequestId &request, Outbox &outbox);
     void report(const ShardId &shard, Outbox &outbox);
     void sendReport(const ShardId &shard, const InstanceId &owner, Outbox &outbox);
     void sendDigest(const ShardId &shard, const InstanceId &owner, Outbox &outbox);
-    bool takesDigests(const ShardId &shard, const InstanceId &owner) const;
+    bool acceptsDigests(const ShardId &shard, const InstanceId &owner) const;
     bool isUnreachable(Millis now, const InstanceId &owner) const;
     std::set<InstanceId> lateOwners() const;
     ShardId shardOf(const GrantedReservation &granted) const;
@@ -86,12 +86,12 @@
     LocalPlacement placement;
     std::uint64_t sequence = 0;
     std::uint64_t reservationCount = 0;
-    std::unordered_map<RequestId, Pending> pending;
+    std::unordered_map<RequestId, PendingReservation> pending;
     std::unordered_map<RequestId, GrantedReservation> granted;
     /** Maps the reservation ids on the wire to the requests. */
     std::unordered_map<RequestId, RequestId> requestOf;
     /** Number of reservations of this router on each target. */
-    TargetCounts ownCounts;
+    TargetCounts heldCounts;
     std::map<InstanceId, Millis> unreachableUntil;
     std::map<ShardId, InstanceId> owners;
     /** The owners that accept digests; an entry is removed when the owner changes or its connection breaks. */
@@ -148,13 +148,13 @@
     this->pending.erase(refused);
 }
 
-void Reserver::Private::grant(const Pending &pendingRequest, const TargetId &target, bool isLocal)
+void Reserver::Private::grant(const PendingReservation &pendingReservation, const TargetId &target, bool isLocal)
 {
-    const RequestId &request = pendingRequest.placementRequest.request;
-    const InstanceId grantedBy = isLocal ? InstanceId{} : pendingRequest.route.owner;
+    const RequestId &request = pendingReservation.placementRequest.request;
+    const InstanceId grantedBy = isLocal ? InstanceId{} : pendingReservation.route.owner;
     this->granted[request] = GrantedReservation{
-        pendingRequest.reservation, pendingRequest.placementRequest.pool, target, grantedBy, isLocal};
-    this->ownCounts[target] += 1;
+        pendingReservation.reservation, pendingReservation.placementRequest.pool, target, grantedBy, isLocal};
+    this->heldCounts[target] += 1;
     if (isLocal) {
         this->placement.recordPlacement(target);
     }
@@ -164,7 +164,7 @@
 
 void Reserver::Private::releaseGranted(const GrantedReservation &grantedReservation, Outbox &outbox)
 {
-    decrementCount(this->ownCounts, grantedReservation.target);
+    decrementCount(this->heldCounts, grantedReservation.target);
     if (grantedReservation.isLocal) {
         this->placement.recordRemoval(grantedReservation.target);
     }
@@ -178,17 +178,17 @@
     this->requestOf.erase(grantedReservation.reservation);
 }
 
-void Reserver::Private::sendRequest(Millis now, Pending &pendingRequest, Outbox &outbox)
+void Reserver::Private::sendRequest(Millis now, PendingReservation &pendingReservation, Outbox &outbox)
 {
-    const PlacementRequest &placementRequest = pendingRequest.placementRequest;
-    pendingRequest.attempts += 1;
-    this->reportDue[pendingRequest.route.shard] = true;
-    pendingRequest.awaitsOwnerChange = false;
-    pendingRequest.deadline = std::min(now + this->settings.replyTimeout, placementRequest.giveUpAt);
-    outbox.push_back({pendingRequest.route.owner,
-                      ReserveRequest{pendingRequest.reservation,
+    const PlacementRequest &placementRequest = pendingReservation.placementRequest;
+    pendingReservation.attempts += 1;
+    this->reportDue[pendingReservation.route.shard] = true;
+    pendingReservation.awaitsOwnerChange = false;
+    pendingReservation.deadline = std::min(now + this->settings.replyTimeout, placementRequest.giveUpAt);
+    outbox.push_back({pendingReservation.route.owner,
+                      ReserveRequest{pendingReservation.reservation,
                                      placementRequest.pool,
-                                     pendingRequest.route.shard.shard,
+                                     pendingReservation.route.shard.shard,
                                      placementRequest.chatHash,
                                      placementRequest.policy,
                                      placementRequest.boundPercent,
@@ -198,79 +198,86 @@
                                      placementRequest.organisation}});
 }
 
-void Reserver::Private::cancelPending(Pending &pendingRequest, Outbox &outbox) const
+void Reserver::Private::cancelPending(PendingReservation &pendingReservation, Outbox &outbox) const
 {
     // The owner may have granted the reservation, with the answer lost or late.
-    this->sendRelease(pendingRequest.route.owner, pendingRequest.reservation, pendingRequest.route.shard, outbox);
+    this->sendRelease(
+        pendingReservation.route.owner, pendingReservation.reservation, pendingReservation.route.shard, outbox);
 }
 
-void Reserver::Private::reroute(Millis now, Pending &pendingRequest, Outbox &outbox)
+void Reserver::Private::reroute(Millis now, PendingReservation &pendingReservation, Outbox &outbox)
 {
     const std::optional<ShardRoute> route
-        = this->map.routeOf(pendingRequest.placementRequest.pool, pendingRequest.placementRequest.chatHash);
-    const RequestId request = pendingRequest.placementRequest.request;
+        = this->map.routeOf(pendingReservation.placementRequest.pool, pendingReservation.placementRequest.chatHash);
+    const RequestId request = pendingReservation.placementRequest.request;
     if (!route) {
         this->refuse(request, ReserveOutcome::NoTarget, this->settings.retryAfter);
         return;
     }
-    pendingRequest.redirected = false;
-    this->requestFrom(now, pendingRequest, *route, outbox);
+    pendingReservation.redirected = false;
+    this->requestFrom(now, pendingReservation, *route, outbox);
 }
 
-void Reserver::Private::requestFrom(Millis now, Pending &pendingRequest, const ShardRoute &route, Outbox &outbox)
+void Reserver::Private::requestFrom(Millis now,
+                                    PendingReservation &pendingReservation,
+                                    const ShardRoute &route,
+                                    Outbox &outbox)
 {
-    const RequestId request = pendingRequest.placementRequest.request;
+    const RequestId request = pendingReservation.placementRequest.request;
     // Each shard and owner gets a new id, so that a release of an earlier reservation cannot undo this one.
     constexpr std::uint64_t idMultiplier = 0x9e3779b97f4a7c15ULL;
-    this->requestOf.erase(pendingRequest.reservation);
-    pendingRequest.route = route;
+    this->requestOf.erase(pendingReservation.reservation);
+    pendingReservation.route = route;
     this->reservationCount += 1;
-    pendingRequest.reservation = RequestId{request.high, request.low ^ (this->reservationCount * idMultiplier)};
-    this->requestOf[pendingRequest.reservation] = request;
+    pendingReservation.reservation = RequestId{request.high, request.low ^ (this->reservationCount * idMultiplier)};
+    this->requestOf[pendingReservation.reservation] = request;
     if (this->isUnreachable(now, route.owner)) {
         this->placeLocally(now, request);
         return;
     }
-    this->sendRequest(now, pendingRequest, outbox);
+    this->sendRequest(now, pendingReservation, outbox);
 }
 
 // When a router returns, the shard's former owner may notice first and stop granting, while this router's list still
 // names the former owner for about a second. Asking only the former owner until all attempts are used up would refuse
 // requests (as pool_full, in a planned stop) although every target has room. So the router named in the answer is asked
 // at once. If that router answers NotOwner too, the reservation waits for the lists to agree, for a bounded time.
-void Reserver::Private::handleNotOwner(Millis now, Pending &pendingRequest, const InstanceId &named, Outbox &outbox)
+void Reserver::Private::handleNotOwner(Millis now,
+                                       PendingReservation &pendingReservation,
+                                       const InstanceId &named,
+                                       Outbox &outbox)
 {
-    if (pendingRequest.awaitsOwnerChange) {
+    if (pendingReservation.awaitsOwnerChange) {
         return;
     }
     // The owner answered, so the attempt does not count as unanswered.
-    pendingRequest.attempts -= 1;
-    if (pendingRequest.redirectDeadline == Millis::never()) {
-        pendingRequest.redirectDeadline = now + this->settings.redirectTimeout;
+    pendingReservation.attempts -= 1;
+    if (pendingReservation.redirectDeadline == Millis::never()) {
+        pendingReservation.redirectDeadline = now + this->settings.redirectTimeout;
     }
     const bool mayRedirect
-        = !pendingRequest.redirected && named != pendingRequest.route.owner && !this->isUnreachable(now, named);
+        = !pendingReservation.redirected && named != pendingReservation.route.owner && !this->isUnreachable(now, named);
     if (mayRedirect) {
-        pendingRequest.redirected = true;
+        pendingReservation.redirected = true;
         // The request may have been sent twice, and the router may own the shard again when the second copy arrives.
         // Without this release, that copy would be granted a place that nobody uses, and the target would count one
         // reservation too many for seconds.
-        this->cancelPending(pendingRequest, outbox);
-        this->requestFrom(now, pendingRequest, ShardRoute{pendingRequest.route.shard, named}, outbox);
+        this->cancelPending(pendingReservation, outbox);
+        this->requestFrom(now, pendingReservation, ShardRoute{pendingReservation.route.shard, named}, outbox);
         return;
     }
-    pendingRequest.awaitsOwnerChange = true;
-    pendingRequest.deadline = now + this->settings.notOwnerDelay;
+    pendingReservation.awaitsOwnerChange = true;
+    pendingReservation.deadline = now + this->settings.notOwnerDelay;
 }
 
 void Reserver::Private::placeLocally(Millis now, const RequestId &request)
 {
-    const Pending &pendingRequest = this->pending.at(request);
-    const std::vector<TargetView> targets = this->map.targetsOf(pendingRequest.route.shard);
-    const std::optional<TargetId> target
-        = this->placement.choose(now, pendingRequest.placementRequest, targets, this->map.instances(), this->ownCounts);
+    const PendingReservation &pendingReservation = this->pending.at(request);
+    const std::vector<TargetView> targets = this->map.targetsOf(pendingReservation.route.shard);
+    const std::optional<TargetId> target = this->placement.choose(
+        now, pendingReservation.placementRequest, targets, this->map.instances(), this->heldCounts);
     if (target) {
-        this->grant(pendingRequest, *target, true);
+        this->grant(pendingReservation, *target, true);
         this->pending.erase(request);
         return;
     }
@@ -279,32 +286,33 @@
 
 void Reserver::Private::handleTimeout(Millis now, const RequestId &request, Outbox &outbox)
 {
-    Pending &pendingRequest = this->pending.at(request);
-    if (now >= pendingRequest.placementRequest.giveUpAt) {
-        this->cancelPending(pendingRequest, outbox);
+    PendingReservation &pendingReservation = this->pending.at(request);
+    if (now >= pendingReservation.placementRequest.giveUpAt) {
+        this->cancelPending(pendingReservation, outbox);
         this->refuse(request, ReserveOutcome::Full, lateRetryAfter);
         return;
     }
-    const bool sameOwner = this->map.ownerOf(pendingRequest.route.shard) == pendingRequest.route.owner;
-    const bool mayRetry = pendingRequest.awaitsOwnerChange ? now < pendingRequest.redirectDeadline
-                                                           : pendingRequest.attempts < this->settings.maxAttempts;
+    const bool sameOwner = this->map.ownerOf(pendingReservation.route.shard) == pendingReservation.route.owner;
+    const bool mayRetry = pendingReservation.awaitsOwnerChange
+        ? now < pendingReservation.redirectDeadline
+        : pendingReservation.attempts < this->settings.maxAttempts;
     if (mayRetry) {
-        if (sameOwner && !this->isUnreachable(now, pendingRequest.route.owner)) {
-            this->sendRequest(now, pendingRequest, outbox);
+        if (sameOwner && !this->isUnreachable(now, pendingReservation.route.owner)) {
+            this->sendRequest(now, pendingReservation, outbox);
             return;
         }
-        this->cancelPending(pendingRequest, outbox);
-        this->reroute(now, pendingRequest, outbox);
+        this->cancelPending(pendingReservation, outbox);
+        this->reroute(now, pendingReservation, outbox);
         return;
     }
-    if (!pendingRequest.awaitsOwnerChange) {
-        this->unreachableUntil[pendingRequest.route.owner] = now + this->settings.unreachableTime;
+    if (!pendingReservation.awaitsOwnerChange) {
+        this->unreachableUntil[pendingReservation.route.owner] = now + this->settings.unreachableTime;
     }
-    this->cancelPending(pendingRequest, outbox);
+    this->cancelPending(pendingReservation, outbox);
     this->placeLocally(now, request);
 }
 
-bool Reserver::Private::takesDigests(const ShardId &shard, const InstanceId &owner) const
+bool Reserver::Private::acceptsDigests(const ShardId &shard, const InstanceId &owner) const
 {
     const auto known = this->digestOwners.find(shard);
     return known != this->digestOwners.end() && known->second == owner;
@@ -316,7 +324,7 @@
     if (owner.empty()) {
         return;
     }
-    if (this->takesDigests(shard, owner)) {
+    if (this->acceptsDigests(shard, owner)) {
         this->sendDigest(shard, owner, outbox);
     } else {
         this->sendReport(shard, owner, outbox);
@@ -343,7 +351,7 @@
 void Reserver::Private::sendReport(const ShardId &shard, const InstanceId &owner, Outbox &outbox)
 {
     HoldingsReport message{shard.pool, shard.shard, ++this->sequence, {}};
-    message.wantsAnswer = this->settings.sendsDigests && !this->takesDigests(shard, owner);
+    message.wantsAnswer = this->settings.sendsDigests && !this->acceptsDigests(shard, owner);
     for (const auto &entry : this->granted) {
         if (this->shardOf(entry.second) == shard) {
             message.holdings.push_back(Holding{entry.second.reservation, entry.second.target});
@@ -365,7 +373,7 @@
                    const ShardMap &map)
     : d(std::make_unique<Private>(std::move(self), settings, seed, map))
 {
-    this->d->sequence = incarnation << incarnationShift;
+    this->d->sequence = incarnation << sequenceBitsPerIncarnation;
 }
 
 Reserver::~Reserver() = default;
@@ -373,7 +381,7 @@
 void Reserver::reserve(Millis now, const PlacementRequest &placementRequest, Outbox &outbox)
 {
     this->release(now, placementRequest.request, outbox);
-    Pending &pending = this->d->pending[placementRequest.request];
+    PendingReservation &pending = this->d->pending[placementRequest.request];
     pending.placementRequest = placementRequest;
     this->d->reroute(now, pending, outbox);
 }
@@ -405,7 +413,7 @@
         return;
     }
     const RequestId request = found->first;
-    Pending &pending = found->second;
+    PendingReservation &pending = found->second;
     switch (message.verdict) {
     case ReserveVerdict::Granted:
         this->d->grant(pending, message.target, false);
@@ -450,7 +458,7 @@
         }
     }
     for (const RequestId &request : movedRequests) {
-        Pending &pending = this->d->pending.at(request);
+        PendingReservation &pending = this->d->pending.at(request);
         this->d->cancelPending(pending, outbox);
         this->d->reroute(now, pending, outbox);
     }
@@ -483,7 +491,7 @@
         }
     }
     for (const RequestId &request : affected) {
-        Pending &pending = this->d->pending.at(request);
+        PendingReservation &pending = this->d->pending.at(request);
         this->d->cancelPending(pending, outbox);
         this->d->reroute(now, pending, outbox);
     }
--- a/sequoiausher/coordination/admission/reservertest.cpp
+++ b/sequoiausher/coordination/admission/reservertest.cpp
@@ -108,9 +108,9 @@
 
 TEST_CASE_FIXTURE(ReserverFixture, "the request to the owner has the hash of the prefix")
 {
-    PlacementRequest wanted{RequestId{1, 1}, pool, 3, PolicyKind::PrefixRendezvous, 125, {}};
-    wanted.prefixHash = 9;
-    this->reserver.reserve(Millis{0}, wanted, this->outbox);
+    PlacementRequest placementRequest{RequestId{1, 1}, pool, 3, PolicyKind::PrefixRendezvous, 125, {}};
+    placementRequest.prefixHash = 9;
+    this->reserver.reserve(Millis{0}, placementRequest, this->outbox);
     CHECK(this->sent<ReserveRequest>().at(0).prefixHash == 9);
 }
 
@@ -294,10 +294,10 @@
 
 TEST_CASE_FIXTURE(ReserverFixture, "the request to the owner has the class and the organisation")
 {
-    PlacementRequest wanted{RequestId{1, 1}, pool, 3};
-    wanted.requestClass = RequestClass::Urgent;
-    wanted.organisation = 77;
-    this->reserver.reserve(Millis{0}, wanted, this->outbox);
+    PlacementRequest placementRequest{RequestId{1, 1}, pool, 3};
+    placementRequest.requestClass = RequestClass::Urgent;
+    placementRequest.organisation = 77;
+    this->reserver.reserve(Millis{0}, placementRequest, this->outbox);
     const ReserveRequest sent = this->sent<ReserveRequest>().at(0);
     CHECK(sent.requestClass == RequestClass::Urgent);
     CHECK(sent.organisation == 77);
@@ -307,9 +307,9 @@
 // and then gets a place, if only requests that wait at the router are checked for their deadline.
 TEST_CASE_FIXTURE(ReserverFixture, "a reservation is cancelled at its deadline, and a place granted later is not kept")
 {
-    PlacementRequest wanted{RequestId{1, 1}, pool, 3};
-    wanted.giveUpAt = Millis{60};
-    this->reserver.reserve(Millis{0}, wanted, this->outbox);
+    PlacementRequest placementRequest{RequestId{1, 1}, pool, 3};
+    placementRequest.giveUpAt = Millis{60};
+    this->reserver.reserve(Millis{0}, placementRequest, this->outbox);
     const RequestId reservation = this->sent<ReserveRequest>().at(0).request;
     CHECK(this->reserver.nextDeadline() <= Millis{60});
     this->reserver.tick(Millis{60}, this->outbox);
--- a/sequoiausher/coordination/admission/shardowner.cpp
+++ b/sequoiausher/coordination/admission/shardowner.cpp
@@ -145,14 +145,14 @@
     this->capacity = 0;
     for (std::size_t i = 0; i < this->targetStates.size(); ++i) {
         const TargetState &targetState = this->targetStates[i];
-        TargetLoad &seen = this->load.targets[i];
+        TargetLoad &targetLoad = this->load.targets[i];
         const std::uint32_t estimated = this->estimate(targetState, now);
         // Counted requests may still be on their way to the target, so a lower report does not reduce the count.
-        seen.inFlight = std::max(targetState.count.counted(), estimated);
-        seen.reported = targetState.count.reported();
+        targetLoad.inFlight = std::max(targetState.count.counted(), estimated);
+        targetLoad.reported = targetState.count.reported();
         if (targetState.state == LifeState::Live) {
             this->load.total += estimated;
-            this->maxLoadTotal += seen.inFlight;
+            this->maxLoadTotal += targetLoad.inFlight;
             this->load.counted += 1;
             this->capacity += targetState.capacity.value_or(0);
         }
@@ -212,8 +212,9 @@
     }
     // Organisations above their share are kept from more places than other interactive requests are, so no places need
     // to be kept from organisations below their share.
-    const bool isQuiet = this->shares.isBelowShare(message.organisation, this->capacity);
-    return isQuiet && this->shares.isAnyAboveShare(this->capacity) ? RequestClass::Urgent : RequestClass::Interactive;
+    const bool isBelowShare = this->shares.isBelowShare(message.organisation, this->capacity);
+    return isBelowShare && this->shares.isAnyAboveShare(this->capacity) ? RequestClass::Urgent
+                                                                        : RequestClass::Interactive;
 }
 
 void ShardOwner::Private::applyLimits(const ReserveRequest &message)
@@ -222,11 +223,11 @@
     const std::uint64_t bound = this->bound(message.boundPercent);
     for (std::size_t i = 0; i < this->targetStates.size(); ++i) {
         const TargetState &targetState = this->targetStates[i];
-        TargetLoad &seen = this->load.targets[i];
+        TargetLoad &targetLoad = this->load.targets[i];
         const bool hasPlace = !targetState.capacity
-            || seen.inFlight + keptPlaces(effectiveClass, *targetState.capacity) < *targetState.capacity;
-        const bool hasRoom = seen.inFlight < bound && hasPlace;
-        seen.usable = hasRoom && this->isUsable(targetState, message);
+            || targetLoad.inFlight + keptPlaces(effectiveClass, *targetState.capacity) < *targetState.capacity;
+        const bool hasRoom = targetLoad.inFlight < bound && hasPlace;
+        targetLoad.usable = hasRoom && this->isUsable(targetState, message);
     }
 }
 
@@ -240,14 +241,14 @@
 /** @return the target of the reservation, empty if it is not counted. */
 TargetId ShardOwner::Private::removeReservation(const RequestId &request)
 {
-    const auto entry = this->held.find(request);
-    if (entry == this->held.end()) {
+    const auto found = this->held.find(request);
+    if (found == this->held.end()) {
         return TargetId{};
     }
-    TargetId target = entry->second.target;
-    this->entries[entry->second.entry].held.erase(request);
-    this->shares.remove(entry->second.organisation);
-    this->held.erase(entry);
+    TargetId target = found->second.target;
+    this->entries[found->second.entry].held.erase(request);
+    this->shares.remove(found->second.organisation);
+    this->held.erase(found);
     return target;
 }
 
@@ -375,10 +376,10 @@
         this->d->targetStates.push_back(targetState);
         this->d->load.targets.push_back(TargetLoad{name, target.hash, 0, 0, true});
     }
-    for (const auto &entry : this->d->held) {
+    for (const auto &countedReservation : this->d->held) {
         // Reservations may already be held on a target that returns to this shard.
-        TargetState *targetState = this->d->find(entry.second.target);
-        if (targetState != nullptr && !indexBefore.contains(entry.second.target)) {
+        TargetState *targetState = this->d->find(countedReservation.second.target);
+        if (targetState != nullptr && !indexBefore.contains(countedReservation.second.target)) {
             targetState->count.adjustCounted(1);
         }
     }
--- a/sequoiausher/coordination/admission/shardownertest.cpp
+++ b/sequoiausher/coordination/admission/shardownertest.cpp
@@ -312,7 +312,7 @@
         return replies;
     }
 
-    void free(Millis now, std::uint64_t request)
+    void releaseAndServe(Millis now, std::uint64_t request)
     {
         this->owner.receive(now, entry, Release{RequestId{0, request}, pool, 0});
         this->owner.serveWaiting(now, this->outbox);
@@ -339,14 +339,14 @@
     const RequestId urgent = this->ask(Millis{3}, RequestClass::Urgent, 1);
     CHECK(this->answers().empty());
     CHECK(this->owner.waiting() == 2);
-    this->free(Millis{10}, 1);
+    this->releaseAndServe(Millis{10}, 1);
     std::vector<ReserveReply> answered = this->answers();
     REQUIRE(answered.size() == 1);
     CHECK(answered.front().request == urgent);
     CHECK(answered.front().verdict == ReserveVerdict::Granted);
     CHECK(this->owner.counted(TargetId{"a"}) == places);
-    this->free(Millis{11}, 2);
-    this->free(Millis{12}, 3);
+    this->releaseAndServe(Millis{11}, 2);
+    this->releaseAndServe(Millis{12}, 3);
     answered = this->answers();
     REQUIRE(answered.size() == 1);
     CHECK(answered.front().request == interactive);
@@ -362,7 +362,7 @@
     const std::vector<ReserveReply> answered = this->answers();
     REQUIRE(answered.size() == 1);
     CHECK(answered.front() == ReserveReply{late, ReserveVerdict::Full, {}, Millis{1}});
-    this->free(Millis{103}, 1);
+    this->releaseAndServe(Millis{103}, 1);
     CHECK(this->answers().empty());
     CHECK(this->owner.counted(TargetId{"a"}) == places - 1);
 }
@@ -376,7 +376,7 @@
     this->ask(Millis{2}, RequestClass::Urgent, 1, other);
     this->owner.receive(Millis{3}, entry, Release{first, pool, 0});
     this->owner.dropEntry(other);
-    this->free(Millis{4}, 1);
+    this->releaseAndServe(Millis{4}, 1);
     CHECK(this->answers().empty());
     CHECK(this->owner.waiting() == 0);
     CHECK(this->owner.counted(TargetId{"a"}) == places - 1);
@@ -389,7 +389,7 @@
     this->lastRequest -= 1;
     this->ask(Millis{3}, RequestClass::Urgent, 1);
     CHECK(this->owner.waiting() == 1);
-    this->free(Millis{4}, 1);
+    this->releaseAndServe(Millis{4}, 1);
     CHECK(this->answers().size() == 1);
 }
 
--- a/sequoiausher/coordination/admission/waitinglist.cpp
+++ b/sequoiausher/coordination/admission/waitinglist.cpp
@@ -15,13 +15,13 @@
 namespace {
 
 /** Describes the reservation to its flow. */
-QueueEntry entryOf(const ReserveRequest &message)
+QueueEntry queueEntryOf(const ReserveRequest &message)
 {
-    QueueEntry entry;
-    entry.request = message.request;
-    entry.organisation = OrganisationId{std::to_string(message.organisation)};
-    entry.requestClass = message.requestClass;
-    return entry;
+    QueueEntry queueEntry;
+    queueEntry.request = message.request;
+    queueEntry.organisation = OrganisationId{std::to_string(message.organisation)};
+    queueEntry.requestClass = message.requestClass;
+    return queueEntry;
 }
 
 } // namespace
@@ -119,7 +119,7 @@
     if (!this->d->byRequest.emplace(request, reservation).second) {
         return {};
     }
-    this->d->flowsOf(reservation.message).add(entryOf(reservation.message));
+    this->d->flowsOf(reservation.message).add(queueEntryOf(reservation.message));
     this->d->byDeadline.emplace_back(reservation.deadline, request);
     if (this->d->byRequest.size() <= this->d->maxWaiting) {
         return {};
@@ -131,7 +131,7 @@
 {
     if (this->contains(request)) {
         const WaitingReservation gone = this->d->extract(request);
-        this->d->flowsOf(gone.message).remove(entryOf(gone.message).organisation, request);
+        this->d->flowsOf(gone.message).remove(queueEntryOf(gone.message).organisation, request);
     }
 }
 
