--- a/sequoiausher/coordination/admission/admissionpropertytest.cpp
+++ b/sequoiausher/coordination/admission/admissionpropertytest.cpp
@@ -23,7 +23,7 @@
 constexpr std::uint32_t percent = 125;
 constexpr int routerCount = 5;
 constexpr int targetCount = 6;
-// One of the prefixes is 0: chats without a prefix.
+// Prefix 0 stands for chats without a prefix.
 constexpr std::uint64_t prefixCount = 4;
 
 /** Each schedule is run with each variant. */
--- a/sequoiausher/coordination/admission/localplacement.h
+++ b/sequoiausher/coordination/admission/localplacement.h
@@ -43,7 +43,7 @@
      * @param targets the targets of the shard.
      * @param routers the live routers.
      * @param heldCounts what this router holds on each target, whether granted by an owner or locally.
-     * @return none if this router has no place left.
+     * @return none if this router has no place left or no usable target has a recent load.
      */
     std::optional<TargetId> choose(Millis now,
                                    const PlacementRequest &placementRequest,
--- a/sequoiausher/coordination/admission/localshare.h
+++ b/sequoiausher/coordination/admission/localshare.h
@@ -3,7 +3,8 @@
 // How many requests one router may place on a target without the shard's owner while the owner cannot be reached. The
 // bound holds even if every router does so at the same time.
 //
-//     headroom = max(1, floor(c * total / targets)) - load of the target
+//     c        = boundPercent / 100, at least 1
+//     headroom = max(0, min(capacity, max(1, floor(c * total / targets))) - load of the target)
 //     share    = floor(headroom / routers), and one more for the first (headroom mod routers) routers in the target's
 //                rendezvous order
 //
@@ -15,7 +16,7 @@
 
 namespace Sequoiausher {
 
-/** What a router knows about a shard and one of its targets without the owner. */
+/** Input of localHeadroom(), available without the owner. */
 struct HeadroomInput
 {
     std::uint32_t boundPercent = 125;
@@ -23,7 +24,7 @@
     std::uint64_t total = 0;
     /** The number of live targets of the shard. */
     std::uint64_t targets = 0;
-    /** What the target carries by its last report. */
+    /** The target's load: the larger of its last report and this router's own reservations on it. */
     std::uint64_t load = 0;
     /** The target's capacity; none if it states none. */
     std::optional<std::uint32_t> capacity;
--- a/sequoiausher/coordination/admission/organisationshares.h
+++ b/sequoiausher/coordination/admission/organisationshares.h
@@ -25,9 +25,9 @@
 {
 public:
     /**
-     * An organisation that holds this many even shares counts as above its share. With 1, organisations with few
-     * requests would be above by chance: at a mean of two requests each, one in four of them at any time. With 2, it is
-     * one in a hundred.
+     * An organisation that holds at least this many even shares counts as above its share. With 1, organisations with
+     * few requests would be above by chance: at a mean of two requests each, one in four of them at any time. With 2,
+     * it is one in a hundred.
      */
     static constexpr std::uint64_t aboveShareFactor = 2;
 
@@ -37,7 +37,7 @@
     /**
      * Whether the organisation holds at least aboveShareFactor times the capacity divided by the number of
      * organisations that hold something. Never true with one or two such organisations while the shard holds at most
-     * its capacity.
+     * its capacity. With a capacity of 0, true for each organisation that holds something.
      */
     bool isAboveShare(std::uint16_t organisation, std::uint64_t capacity) const;
 
--- a/sequoiausher/coordination/admission/ownedshards.cpp
+++ b/sequoiausher/coordination/admission/ownedshards.cpp
@@ -13,7 +13,7 @@
 // The routers' lists may disagree for seconds: other routers may send messages for a shard this long before this router
 // notices that it owns the shard.
 constexpr Millis earlyMessageTtl{5000};
-// Reached only in a flood of messages. Dropping further ones only means to wait for the next reports.
+// Reached only in a flood of messages. Further messages are dropped, and the next reports correct the counts.
 constexpr std::size_t maxEarlyMessages = 20000;
 
 struct OwnedShard
@@ -57,8 +57,8 @@
         owner->receive(now, from, message);
         return;
     }
-    // Entries that notice an owner's death before this router does send their reports to this router at once. If it
-    // dropped them, its new owner would wait for these reports until settleTime is over.
+    // Entries that notice an owner's death before this router does send their reports to this router at once. If this
+    // router dropped them, the ShardOwner that it creates later would stay unsettled until settleTime is over.
     if (this->earlyMessages.size() < maxEarlyMessages) {
         this->earlyMessages.push_back(EarlyMessage{now, from, message});
     }
--- a/sequoiausher/coordination/admission/placementrequest.h
+++ b/sequoiausher/coordination/admission/placementrequest.h
@@ -1,9 +1,8 @@
 #pragma once
 
-// What admission needs to know about a request to reserve a target for it.
+// The properties of a request by which admission chooses its target.
 //
-//     const PlacementRequest placementRequest{request, PoolId{"plates"}, chatHash, PolicyKind::BoundedRendezvous, 125,
-//     {}};
+//     const PlacementRequest placementRequest{request, pool, chatHash, PolicyKind::BoundedRendezvous, 125, {}};
 
 #include "sequoiausher/base/millis.h"
 #include "sequoiausher/coordination/messages/admissionmessages.h"
--- a/sequoiausher/coordination/admission/recentchats.h
+++ b/sequoiausher/coordination/admission/recentchats.h
@@ -1,7 +1,7 @@
 #pragma once
 
 // Remembers the last target of each chat, since that target has the longest cached prompt prefix for the chat's next
-// turn. After an overflow to the chat's second engine, the latest turns are cached there and not at the first.
+// turn. After an overflow to the chat's second target, the latest turns are cached there and not at the first.
 //
 //     RecentChats chats(65536);
 //     chats.recordPlacement(chatHash, target);
--- a/sequoiausher/coordination/admission/reportdifferentialtest.cpp
+++ b/sequoiausher/coordination/admission/reportdifferentialtest.cpp
@@ -40,7 +40,7 @@
     HoldingsDigest lastDigest;
 };
 
-/** Whether a digest that differs is followed by a report. Without reports, the test must fail. */
+/** Whether a digest that differs is followed by a report. With Ignore, the counts of the two owners must differ. */
 enum class DigestMismatch { RequestReport, Ignore };
 
 class TwoOwners
--- a/sequoiausher/coordination/admission/reserver.cpp
+++ b/sequoiausher/coordination/admission/reserver.cpp
@@ -14,21 +14,24 @@
 
 namespace {
 
+// The lower bits of a sequence number count the reports and digests of one start of the router; the upper bits are its
+// incarnation.
 constexpr int sequenceBitsPerIncarnation = 20;
-// A router of this rank or higher in a target's rendezvous order has no local share while the target has this many free
-// places or fewer, so it does not query the target's load.
+// A router that is preceded by at least this many routers in a target's rendezvous order has no local share while the
+// target has this many free places or fewer, so it does not query the target's load.
 constexpr std::size_t loadQueryRanks = 16;
-// The router's queue refuses late requests itself and only has to check again.
+// Retry delay of a request refused because giveUpAt has passed. The router's queue refuses late requests itself, so it
+// may check again at once.
 constexpr Millis lateRetryAfter{1};
 
-/** A reservation whose request has not been answered. */
+/** A reservation that its owner has not granted or refused yet. */
 struct PendingReservation
 {
     PlacementRequest placementRequest;
     RequestId reservation;
     ShardRoute route;
     Millis deadline;
-    /** How often the request was sent without an answer. */
+    /** How many times the request was sent without an answer. */
     std::uint32_t attempts = 0;
     /** The owner answered NotOwner, so the reservation waits until the routers' lists agree. */
     bool awaitsOwnerChange = false;
@@ -224,7 +227,8 @@
                                     Outbox &outbox)
 {
     const RequestId request = pendingReservation.placementRequest.request;
-    // Each shard and owner gets a new id, so that a release of an earlier reservation cannot undo this one.
+    // Each move to another shard or owner gets a new id, so that a release of the earlier reservation cannot undo this
+    // one.
     constexpr std::uint64_t idMultiplier = 0x9e3779b97f4a7c15ULL;
     this->requestOf.erase(pendingReservation.reservation);
     pendingReservation.route = route;
@@ -407,8 +411,8 @@
     const auto known = this->d->requestOf.find(message.request);
     const auto found
         = known == this->d->requestOf.end() ? this->d->pending.end() : this->d->pending.find(known->second);
-    // Ignores late and repeated answers. A grant in such an answer is undone by the release sent when the reservation
-    // was cancelled, or else by the next report.
+    // Ignores late and repeated answers. If a late answer grants a reservation that was cancelled, the release sent at
+    // the cancellation undoes the grant, or else the next report does.
     if (found == this->d->pending.end() || found->second.route.owner != from) {
         return;
     }
--- a/sequoiausher/coordination/admission/reserver.h
+++ b/sequoiausher/coordination/admission/reserver.h
@@ -8,8 +8,9 @@
 //     for (const ReserveResult &result : reserver.takeResults()) { dispatch or refuse }
 //     reserver.release(now, request, outbox);            // at the end, or when the target turned out unusable
 //
-// On the wire, each attempt to reserve has its own id, derived from the request's id: a late or repeated release of the
-// first attempt cannot undo the second. Messages to this router itself go through the outbox like all others.
+// On the wire, each reservation has its own id, derived from the request's id, and gets a new one when it moves to
+// another shard or owner; a repeated send keeps the id. A late or repeated release of an earlier reservation therefore
+// cannot undo a later one. Messages to this router itself go through the outbox like all others.
 
 #include "sequoiausher/coordination/admission/placementrequest.h"
 #include "sequoiausher/coordination/admission/shardmap.h"
@@ -28,7 +29,7 @@
      * than the dispatch window of a claim, which runs at the same time.
      */
     Millis redirectTimeout{400};
-    /** How often the request for one reservation is sent without an answer. */
+    /** How many times the request for one reservation may be sent without an answer. */
     std::uint32_t maxAttempts = 3;
     /** How long no requests are sent to an owner that did not answer. */
     Millis unreachableTime{1000};
@@ -37,7 +38,9 @@
     bool sendsDigests = true;
     /** Local placement ignores reported loads older than this. */
     Millis reportedLoadTtl{3000};
-    /** Retry delay in the result of a request that was refused because the owner could not be reached. */
+    /**
+     * Retry delay of requests refused without an owner's decision, except those refused because giveUpAt has passed.
+     */
     Millis retryAfter{1000};
 
     bool operator==(const ReserverSettings &) const = default;
@@ -47,11 +50,14 @@
     Granted,
     /** Placed by this router without the owner, within its local share. */
     GrantedLocally,
-    /** Every target is at its bound or capacity. */
+    /** Every target is at its bound or capacity, or giveUpAt has passed. */
     Full,
     /** No target is live and usable for the request. */
     NoTarget,
-    /** The owner cannot be reached and this router's local share is used up. */
+    /**
+     * No owner granted or refused the reservation, and local placement found no target: this router's local share is
+     * used up, or no usable target has a recent load.
+     */
     Unreachable,
 };
 
@@ -94,7 +100,10 @@
     Reserver(const Reserver &) = delete;
     Reserver &operator=(const Reserver &) = delete;
 
-    /** Starts a reservation and releases the request's earlier one, if any. Each reservation ends in one result. */
+    /**
+     * Starts a reservation and releases the request's earlier one, if any. Each reservation ends in exactly one result
+     * unless it is released before.
+     */
     void reserve(Millis now, const PlacementRequest &placementRequest, Outbox &outbox);
 
     /** Releases the request's target or cancels its pending reservation. No effect if it has neither. */
--- a/sequoiausher/coordination/admission/reservertest.cpp
+++ b/sequoiausher/coordination/admission/reservertest.cpp
@@ -114,7 +114,7 @@
     CHECK(this->sent<ReserveRequest>().at(0).prefixHash == 9);
 }
 
-TEST_CASE_FIXTURE(ReserverFixture, "a second attempt releases the first and has its own id")
+TEST_CASE_FIXTURE(ReserverFixture, "reserving again releases the first reservation and uses a new id")
 {
     this->reserve(Millis{0}, 1);
     const RequestId before = this->sent<ReserveRequest>().at(0).request;
@@ -226,7 +226,8 @@
     CHECK(this->outbox.back().to == returned);
 }
 
-TEST_CASE_FIXTURE(ReserverFixture, "owners that name each other are followed for a bounded time, then not asked again")
+TEST_CASE_FIXTURE(ReserverFixture,
+                  "owners that name each other are followed for a bounded time, then local placement decides")
 {
     this->reserve(Millis{0}, 1);
     std::size_t asked = 0;
--- a/sequoiausher/coordination/admission/shardmap.h
+++ b/sequoiausher/coordination/admission/shardmap.h
@@ -33,7 +33,10 @@
 {
     /** Approximate number of targets of one shard. docs/design/balance.md has the arithmetic. */
     std::uint32_t targetsPerShard = 16;
-    /** A shard is overloaded, and its chats go to their second shard, above this percentage of the pool's mean load. */
+    /**
+     * A shard is overloaded if its mean load is above this percentage of the pool's mean load plus one request. Its
+     * chats then go to their second shard, unless that is overloaded too.
+     */
     std::uint32_t overflowPercent = 110;
 
     bool operator==(const ShardSettings &) const = default;
--- a/sequoiausher/coordination/admission/shardowner.cpp
+++ b/sequoiausher/coordination/admission/shardowner.cpp
@@ -193,7 +193,8 @@
 
 std::uint64_t ShardOwner::Private::bound(std::uint32_t percent) const
 {
-    // A release under way makes the total one too high, so the new request itself is not added to the total.
+    // loadBound() adds the new request to the total. A release under way may make the total one too high, so one is
+    // subtracted.
     std::uint64_t limit = loadBound(percent, std::max(this->load.total, std::uint64_t{1}) - 1, this->load.counted);
     if (this->poolTargets > 0) {
         limit = std::min(limit, loadBound(percent, this->poolTotal, this->poolTargets));
@@ -210,8 +211,8 @@
     if (this->shares.isAboveShare(message.organisation, this->capacity)) {
         return RequestClass::Background;
     }
-    // Organisations above their share are kept from more places than other interactive requests are, so no places need
-    // to be kept from organisations below their share.
+    // More places are kept from organisations above their share than from other interactive requests, so none need to
+    // be kept from organisations below their share.
     const bool isBelowShare = this->shares.isBelowShare(message.organisation, this->capacity);
     return isBelowShare && this->shares.isAnyAboveShare(this->capacity) ? RequestClass::Urgent
                                                                         : RequestClass::Interactive;
--- a/sequoiausher/coordination/admission/shardowner.h
+++ b/sequoiausher/coordination/admission/shardowner.h
@@ -14,8 +14,9 @@
 // The load that a target reports itself corrects its count. Reports lag, so a report is compared with the count at the
 // time of its measurement. The difference is either work that the owner does not know of (a new owner before the
 // entries have reported, streams of a dead entry, another owner in a partition) or work that the owner counts although
-// it has ended (an entry whose death was not noticed yet). This difference is added to the count until the next report.
-// The load of a single target is the larger of count and corrected count, the mean is taken over the corrected counts.
+// it has ended (an entry whose death was not noticed yet). This difference is added to the count until the next report,
+// for at most reportedLoadTtl. The load of a single target is the larger of count and corrected count, the mean is
+// taken over the corrected counts.
 
 #include "sequoiausher/coordination/admission/shardmap.h"
 #include "sequoiausher/coordination/messages/peermessage.h"
@@ -58,7 +59,7 @@
     bool operator==(const OwnerSettings &) const = default;
 };
 
-/** The counter of one shard. */
+/** The owner of one shard: counts its reservations and grants or refuses new ones. */
 class ShardOwner
 {
 public:
@@ -66,8 +67,9 @@
      * How many of a target's places are kept for classes more important than this one. No places are kept from urgent
      * requests, a sixteenth from interactive ones and three sixteenths from background ones, rounded down. Otherwise a
      * freed place would go to the next request that arrives, and an urgent request would wait at one router while other
-     * routers send background work. Source: trunk reservation, as in telephone networks (Akinpelu, 1984). Interactive
-     * requests of an organisation that holds far more than its share count as background here (organisationshares.h).
+     * routers send background work. Source: trunk reservation, as in telephone networks (Akinpelu, 1984). The caller
+     * passes Background for interactive requests of an organisation above its share, and Urgent for those of an
+     * organisation below its share while another is above (organisationshares.h).
      */
     static std::uint32_t keptPlaces(RequestClass requestClass, std::uint32_t capacity);
 
@@ -87,8 +89,8 @@
 
     /**
      * Sets what is in flight in the whole pool, and the pool's number of targets, both by the last heartbeats. For a
-     * pool of several shards: the load of the shard's targets is then also bounded by the multiple of the pool's mean,
-     * unless that leaves no target with room. 0 targets: no such bound.
+     * pool of several shards: the load of the shard's targets is then also bounded by boundPercent of the pool's
+     * mean, unless that leaves no target with room. 0 targets: no such bound.
      */
     void setPoolLoad(std::uint64_t total, std::uint64_t targets);
 
@@ -114,7 +116,8 @@
 
     /**
      * Compares a digest with what is counted for the entry. If both are equal, the digest has all effects of a report.
-     * @return whether they differ, so that the entry must be asked for the full report.
+     * @return whether the entry must be asked for the full report: true if they differ, false if they are equal or the
+     *     digest is not newer than the last report or digest accepted.
      */
     bool receive(Millis now, const InstanceId &from, const HoldingsDigest &message);
 
--- a/sequoiausher/coordination/admission/shardownertest.cpp
+++ b/sequoiausher/coordination/admission/shardownertest.cpp
@@ -81,7 +81,7 @@
     CHECK(ShardOwner::keptPlaces(RequestClass::Background, 1) == 0);
 }
 
-TEST_CASE("new chats of one prefix go to its two targets while these have headroom")
+TEST_CASE("new chats of one prefix go to the same target while it has headroom")
 {
     ShardOwner owner({pool, 0}, OwnerSettings{}, 1, Millis{0});
     std::vector<TargetView> targets;
@@ -140,7 +140,7 @@
     CHECK(this->owner.sum(Millis{1}) == ShardSum{pool, 0, 2, 1});
 }
 
-TEST_CASE_FIXTURE(OwnerFixture, "a report replaces the counted reservations except grants younger than the report")
+TEST_CASE_FIXTURE(OwnerFixture, "a report replaces the counted reservations except grants younger than reportGrace")
 {
     this->grant(Millis{0});
     this->grant(Millis{0});
@@ -408,7 +408,7 @@
         this->ask(Millis{1}, RequestClass::Interactive, organisation);
     }
     CHECK(this->owner.counted(TargetId{"a"}) == places);
-    // An organisation that is alone, or a request without an organisation, may have as many places as before.
+    // From interactive requests of an organisation that is alone, or of none, only one place is kept.
     CHECK(ShardOwner::keptPlaces(RequestClass::Interactive, places) == 1);
 }
 
--- a/sequoiausher/coordination/admission/targetcount.h
+++ b/sequoiausher/coordination/admission/targetcount.h
@@ -8,7 +8,7 @@
 //     count.estimate(now - Millis{3000});
 //
 // A report lags, so it is compared with the count at the time of its measurement. The difference is added to the count
-// until the next report.
+// until the next report, as long as the last report is not older than the caller allows.
 
 #include "sequoiausher/base/millis.h"
 
--- a/sequoiausher/coordination/admission/targetcounttest.cpp
+++ b/sequoiausher/coordination/admission/targetcounttest.cpp
@@ -20,7 +20,7 @@
     CHECK(count.counted() == 3);
 }
 
-TEST_CASE("holdings that entries report or a dead entry held change the count, but the estimate only by target reports")
+TEST_CASE("adjustCounted() changes the count, but the estimate changes only with the target's reports")
 {
     TargetCount count(Millis{0});
     count.report(5, Millis{10});
--- a/sequoiausher/coordination/admission/waitinglist.cpp
+++ b/sequoiausher/coordination/admission/waitinglist.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/** Describes the reservation to its flow. */
+/** The reservation as an element of a FairFlows queue. */
 QueueEntry queueEntryOf(const ReserveRequest &message)
 {
     QueueEntry queueEntry;
--- a/sequoiausher/coordination/admission/waitinglist.h
+++ b/sequoiausher/coordination/admission/waitinglist.h
@@ -43,8 +43,8 @@
 
     /**
      * Adds the reservation unless it waits already. Its deadline must not be before those of earlier reservations.
-     * @return the reservation removed because the list is full: in the lowest class, the newest of the organisation
-     *     with the most waiting reservations. This may be the added one.
+     * @return empty, or the one reservation removed because the list is full: in the lowest class, the newest of the
+     *     organisation with the most waiting reservations. This may be the added one.
      */
     std::vector<WaitingReservation> add(const WaitingReservation &reservation);
 
