--- a/sequoiausher/coordination/admission/shardownertest.cpp
+++ b/sequoiausher/coordination/admission/shardownertest.cpp
@@ -81,7 +81,7 @@
     CHECK(ShardOwner::keptPlaces(RequestClass::Background, 1) == 0);
 }
 
-TEST_CASE("new chats of one prefix go to its two targets while these have headroom")
+TEST_CASE("new chats of one prefix go to the same target while it has headroom")
 {
     ShardOwner owner({pool, 0}, OwnerSettings{}, 1, Millis{0});
     std::vector<TargetView> targets;
@@ -140,7 +140,7 @@
     CHECK(this->owner.sum(Millis{1}) == ShardSum{pool, 0, 2, 1});
 }
 
-TEST_CASE_FIXTURE(OwnerFixture, "a report replaces the counted reservations except grants younger than the report")
+TEST_CASE_FIXTURE(OwnerFixture, "a report replaces the counted reservations except grants younger than reportGrace")
 {
     this->grant(Millis{0});
     this->grant(Millis{0});
@@ -312,7 +312,7 @@
         return replies;
     }
 
-    void free(Millis now, std::uint64_t request)
+    void releaseAndServe(Millis now, std::uint64_t request)
     {
         this->owner.receive(now, entry, Release{RequestId{0, request}, pool, 0});
         this->owner.serveWaiting(now, this->outbox);
@@ -339,14 +339,14 @@
     const RequestId urgent = this->ask(Millis{3}, RequestClass::Urgent, 1);
     CHECK(this->answers().empty());
     CHECK(this->owner.waiting() == 2);
-    this->free(Millis{10}, 1);
+    this->releaseAndServe(Millis{10}, 1);
     std::vector<ReserveReply> answered = this->answers();
     REQUIRE(answered.size() == 1);
     CHECK(answered.front().request == urgent);
     CHECK(answered.front().verdict == ReserveVerdict::Granted);
     CHECK(this->owner.counted(TargetId{"a"}) == places);
-    this->free(Millis{11}, 2);
-    this->free(Millis{12}, 3);
+    this->releaseAndServe(Millis{11}, 2);
+    this->releaseAndServe(Millis{12}, 3);
     answered = this->answers();
     REQUIRE(answered.size() == 1);
     CHECK(answered.front().request == interactive);
@@ -362,7 +362,7 @@
     const std::vector<ReserveReply> answered = this->answers();
     REQUIRE(answered.size() == 1);
     CHECK(answered.front() == ReserveReply{late, ReserveVerdict::Full, {}, Millis{1}});
-    this->free(Millis{103}, 1);
+    this->releaseAndServe(Millis{103}, 1);
     CHECK(this->answers().empty());
     CHECK(this->owner.counted(TargetId{"a"}) == places - 1);
 }
@@ -376,7 +376,7 @@
     this->ask(Millis{2}, RequestClass::Urgent, 1, other);
     this->owner.receive(Millis{3}, entry, Release{first, pool, 0});
     this->owner.dropEntry(other);
-    this->free(Millis{4}, 1);
+    this->releaseAndServe(Millis{4}, 1);
     CHECK(this->answers().empty());
     CHECK(this->owner.waiting() == 0);
     CHECK(this->owner.counted(TargetId{"a"}) == places - 1);
@@ -389,7 +389,7 @@
     this->lastRequest -= 1;
     this->ask(Millis{3}, RequestClass::Urgent, 1);
     CHECK(this->owner.waiting() == 1);
-    this->free(Millis{4}, 1);
+    this->releaseAndServe(Millis{4}, 1);
     CHECK(this->answers().size() == 1);
 }
 
@@ -408,7 +408,7 @@
         this->ask(Millis{1}, RequestClass::Interactive, organisation);
     }
     CHECK(this->owner.counted(TargetId{"a"}) == places);
-    // An organisation that is alone, or a request without an organisation, may have as many places as before.
+    // From interactive requests of an organisation that is alone, or of none, only one place is kept.
     CHECK(ShardOwner::keptPlaces(RequestClass::Interactive, places) == 1);
 }
 
