--- a/sequoiausher/coordination/admission/shardowner.cpp
+++ b/sequoiausher/coordination/admission/shardowner.cpp
@@ -156,7 +156,7 @@
     }
     this->load.total -= std::min(this->load.total, this->suspectedLoad(now));
     // The mean of the high counts, so that some target has room whatever the reports say.
-    this->load.lowestBound = loadBound(minimumBoundPercent, this->highTotal, this->load.counted);
+    this->load.minimumBound = loadBound(minimumBoundPercent, this->highTotal, this->load.counted);
 }
 
 // What goes wrong: an entry dies, all its streams end together, and the reports that tell it lag by up to a second.
@@ -194,7 +194,7 @@
     if (this->poolTargets > 0) {
         most = std::min(most, loadBound(percent, this->poolTotal, this->poolTargets));
     }
-    return std::max(most, this->load.lowestBound);
+    return std::max(most, this->load.minimumBound);
 }
 
 /** The class by which places are kept from the request. */
--- a/sequoiausher/coordination/flow/flowaction.h
+++ b/sequoiausher/coordination/flow/flowaction.h
@@ -77,7 +77,7 @@
 
 /** Why a request ends without a complete answer from a target. */
 enum class RefusalReason {
-    ShedByLimit,
+    RateLimited,
     NoTarget,
     PoolFull,
     NoQuorum,
@@ -92,7 +92,7 @@
 
 template<>
 inline constexpr auto nameTable<RefusalReason> = std::to_array<NameEntry<RefusalReason>>({
-    {RefusalReason::ShedByLimit, "rate_limited"},
+    {RefusalReason::RateLimited, "rate_limited"},
     {RefusalReason::NoTarget, "no_target"},
     {RefusalReason::PoolFull, "pool_full"},
     {RefusalReason::NoQuorum, "claim_no_quorum"},
--- a/sequoiausher/coordination/flow/requestflow.cpp
+++ b/sequoiausher/coordination/flow/requestflow.cpp
@@ -29,12 +29,12 @@
 };
 
 enum class HoldState {
-    NotNeeded,
+    None,
     Awaited,
     Held,
 };
 
-bool isSurelyNotRun(TargetFailure failure)
+bool isCertainlyNotRun(TargetFailure failure)
 {
     return failure == TargetFailure::NeverSent || failure == TargetFailure::RefusedByTarget;
 }
@@ -60,7 +60,7 @@
 
     FlowFacts facts;
     Stage stage = Stage::Admitting;
-    HoldState claim = HoldState::NotNeeded;
+    HoldState claim = HoldState::None;
     HoldState reservation = HoldState::Awaited;
     TargetId target;
     std::vector<TargetId> excluded;
@@ -72,7 +72,7 @@
     int resumes = 0;
     int claimAttempts = 1;
     /** The dispatch in progress, or an earlier one, may have run. */
-    bool possiblyRun = false;
+    bool mayHaveRun = false;
     /** An earlier dispatch of this idempotent request may have run. */
     bool mayHaveRunEarlier = false;
     bool headRelayed = false;
@@ -82,14 +82,14 @@
 // request that may have run would let a retry run it a second time.
 void RequestFlow::Private::releaseHeld(FlowActions &actions)
 {
-    if (this->reservation != HoldState::NotNeeded) {
+    if (this->reservation != HoldState::None) {
         actions.emplace_back(ReleaseReservation{});
-        this->reservation = HoldState::NotNeeded;
+        this->reservation = HoldState::None;
     }
-    if (this->claim != HoldState::NotNeeded && !this->possiblyRun) {
+    if (this->claim != HoldState::None && !this->mayHaveRun) {
         actions.emplace_back(WithdrawClaim{});
     }
-    this->claim = HoldState::NotNeeded;
+    this->claim = HoldState::None;
 }
 
 void RequestFlow::Private::finishWith(FlowActions &actions, const FlowAction &last)
@@ -122,20 +122,20 @@
     }
     this->stage = Stage::Dispatched;
     this->dispatches += 1;
-    this->possiblyRun = true;
+    this->mayHaveRun = true;
     actions.emplace_back(Dispatch{this->target, !this->facts.idempotent});
 }
 
 // A request may be resent if it certainly did not run, or if it may run twice.
 bool RequestFlow::Private::canResend(TargetFailure failure) const
 {
-    const bool mayRunAgain = isSurelyNotRun(failure) || (this->facts.idempotent && !this->headRelayed);
+    const bool mayRunAgain = isCertainlyNotRun(failure) || (this->facts.idempotent && !this->headRelayed);
     return mayRunAgain && this->dispatches < this->facts.maxDispatches;
 }
 
 void RequestFlow::Private::tryNextTarget(FlowActions &actions)
 {
-    this->mayHaveRunEarlier = this->possiblyRun;
+    this->mayHaveRunEarlier = this->mayHaveRun;
     this->excluded.push_back(this->target);
     actions.emplace_back(ReleaseReservation{});
     actions.emplace_back(Reserve{this->excluded});
@@ -145,8 +145,8 @@
 
 bool RequestFlow::Private::canResume(TargetFailure failure) const
 {
-    const bool mayBeThere = !isSurelyNotRun(failure) && failure != TargetFailure::CannotResume;
-    return mayBeThere && this->facts.resumable && this->resumes < this->facts.maxResumes;
+    const bool streamMayExist = !isCertainlyNotRun(failure) && failure != TargetFailure::CannotResume;
+    return streamMayExist && this->facts.resumable && this->resumes < this->facts.maxResumes;
 }
 
 // The holder of the key did not run its attempt, so the key is free and this attempt claims it again. Otherwise a
@@ -176,7 +176,7 @@
 {
     FlowActions actions;
     if (now >= this->d->facts.deadline) {
-        this->d->reservation = HoldState::NotNeeded;
+        this->d->reservation = HoldState::None;
         this->d->refuseNotRun(actions, statusTimeout, RefusalReason::DeadlinePassed, this->d->facts.retryAfter);
         return actions;
     }
@@ -195,7 +195,7 @@
         return actions;
     }
     // Only an acquired claim may be withdrawn later.
-    this->d->claim = finding.result == ClaimResult::Acquired ? HoldState::Held : HoldState::NotNeeded;
+    this->d->claim = finding.result == ClaimResult::Acquired ? HoldState::Held : HoldState::None;
     switch (finding.result) {
     case ClaimResult::Acquired:
         this->d->isKeyOwned = true;
@@ -237,11 +237,11 @@
         this->d->dispatchIfReady(actions);
         return actions;
     }
-    this->d->reservation = HoldState::NotNeeded;
+    this->d->reservation = HoldState::None;
     const Millis retryAfter = reply.retryAfter > Millis{0} ? reply.retryAfter : this->d->facts.retryAfter;
     const RefusalReason reason
         = reply.verdict == ReserveVerdict::Full ? RefusalReason::PoolFull : RefusalReason::NoTarget;
-    if (this->d->possiblyRun) {
+    if (this->d->mayHaveRun) {
         // A resend of an idempotent request found no place, and the first dispatch may have run.
         this->d->endWithUnknownOutcome(actions, statusBadGateway, reason);
     } else if (this->d->claim == HoldState::Awaited) {
@@ -257,7 +257,7 @@
 FlowActions RequestFlow::requeued(Millis now)
 {
     FlowActions actions = this->tick(now);
-    if (this->d->stage == Stage::Admitting && this->d->reservation == HoldState::NotNeeded) {
+    if (this->d->stage == Stage::Admitting && this->d->reservation == HoldState::None) {
         this->d->reservation = HoldState::Awaited;
         actions.emplace_back(Reserve{this->d->excluded});
     }
@@ -280,10 +280,10 @@
         return actions;
     }
     (void)now;
-    this->d->possiblyRun = this->d->mayHaveRunEarlier;
+    this->d->mayHaveRun = this->d->mayHaveRunEarlier;
     // While this router was paused, the witnesses may have dropped the claim and allowed another attempt to run.
     this->d->isKeyOwned = false;
-    if (this->d->possiblyRun) {
+    if (this->d->mayHaveRun) {
         this->d->endWithUnknownOutcome(actions, statusBadGateway, RefusalReason::RouterPaused);
     } else {
         this->d->refuseNotRun(actions, statusUnavailable, RefusalReason::RouterPaused, this->d->facts.retryAfter);
@@ -327,8 +327,8 @@
     if (this->d->stage != Stage::Dispatched && this->d->stage != Stage::Relaying) {
         return actions;
     }
-    if (isSurelyNotRun(failure)) {
-        this->d->possiblyRun = this->d->mayHaveRunEarlier;
+    if (isCertainlyNotRun(failure)) {
+        this->d->mayHaveRun = this->d->mayHaveRunEarlier;
     }
     if (this->d->canResume(failure)) {
         this->d->resumes += 1;
@@ -339,7 +339,7 @@
         this->d->tryNextTarget(actions);
         return actions;
     }
-    if (!this->d->possiblyRun) {
+    if (!this->d->mayHaveRun) {
         this->d->refuseNotRun(actions, statusUnavailable, RefusalReason::TargetUnreachable, this->d->facts.retryAfter);
         return actions;
     }
@@ -376,7 +376,7 @@
     if (sent) {
         actions.emplace_back(CancelAtTarget{this->d->target});
     }
-    const Ran ran = this->d->possiblyRun ? Ran::Unknown : Ran::No;
+    const Ran ran = this->d->mayHaveRun ? Ran::Unknown : Ran::No;
     this->d->finishWith(actions, Refuse{statusClientClosed, ran, RefusalReason::ClientGone, Millis{0}});
     return actions;
 }
@@ -390,7 +390,7 @@
     if (this->d->stage == Stage::Dispatched || this->d->stage == Stage::Relaying) {
         actions.emplace_back(CancelAtTarget{this->d->target});
         this->d->endWithUnknownOutcome(actions, statusTimeout, RefusalReason::DeadlinePassed);
-    } else if (this->d->stage == Stage::Attached || this->d->possiblyRun) {
+    } else if (this->d->stage == Stage::Attached || this->d->mayHaveRun) {
         this->d->endWithUnknownOutcome(actions, statusTimeout, RefusalReason::DeadlinePassed);
     } else {
         this->d->refuseNotRun(actions, statusTimeout, RefusalReason::DeadlinePassed, this->d->facts.retryAfter);
@@ -410,7 +410,7 @@
 
 bool RequestFlow::mayHaveRun() const
 {
-    return this->d->possiblyRun;
+    return this->d->mayHaveRun;
 }
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/flow/requestflowtest.cpp
+++ b/sequoiausher/coordination/flow/requestflowtest.cpp
@@ -101,7 +101,7 @@
         bool afterHead;
         bool triesNext;
         bool resumes;
-        bool breaksOff;
+        bool abortsAnswer;
     };
     const Case cases[] = {
         {"never sent: another target", TargetFailure::NeverSent, false, false, false, true, false, false},
@@ -127,14 +127,14 @@
         const FlowActions actions = flow->targetFailed(start, each.failure);
         CHECK(has<Reserve>(actions) == each.triesNext);
         CHECK(has<ResumeStream>(actions) == each.resumes);
-        CHECK(has<AbortAnswer>(actions) == each.breaksOff);
+        CHECK(has<AbortAnswer>(actions) == each.abortsAnswer);
         const bool ends = !each.triesNext && !each.resumes;
         CHECK(flow->isDone() == ends);
         if (ends) {
             CHECK(has<ReleaseReservation>(actions));
             CHECK(!has<WithdrawClaim>(actions));
         }
-        if (ends && !each.breaksOff) {
+        if (ends && !each.abortsAnswer) {
             REQUIRE(has<Refuse>(actions));
             CHECK(find<Refuse>(actions)->ran == Ran::Unknown);
         }
@@ -279,11 +279,11 @@
 {
     RequestFlow waiting(claimedFacts());
     waiting.start(start);
-    const FlowActions notRun = waiting.tick(start + Millis{5000});
-    REQUIRE(has<Refuse>(notRun));
-    CHECK(find<Refuse>(notRun)->ran == Ran::Unknown);
-    CHECK(find<Refuse>(notRun)->retryAfter > Millis{0});
-    CHECK(has<WithdrawClaim>(notRun));
+    const FlowActions claimPending = waiting.tick(start + Millis{5000});
+    REQUIRE(has<Refuse>(claimPending));
+    CHECK(find<Refuse>(claimPending)->ran == Ran::Unknown);
+    CHECK(find<Refuse>(claimPending)->retryAfter > Millis{0});
+    CHECK(has<WithdrawClaim>(claimPending));
 
     FlowFacts unkeyed;
     unkeyed.deadline = start + Millis{5000};
--- a/sequoiausher/coordination/gateway/holderchoice.cpp
+++ b/sequoiausher/coordination/gateway/holderchoice.cpp
@@ -32,12 +32,12 @@
     for (const TargetId &holder : holders) {
         const auto found = std::find_if(
             load.targets.begin(), load.targets.end(), [&holder](const TargetLoad &t) { return t.target == holder; });
-        if (found != load.targets.end() && found->usable && found->inFlight < load.lowestBound) {
-            rooms.emplace_back(found - load.targets.begin(), load.lowestBound - found->inFlight);
+        if (found != load.targets.end() && found->usable && found->inFlight < load.minimumBound) {
+            rooms.emplace_back(found - load.targets.begin(), load.minimumBound - found->inFlight);
             total += rooms.back().second;
         }
     }
-    if (total == 0 || !isTaken(total, load.lowestBound, requestHash)) {
+    if (total == 0 || !isTaken(total, load.minimumBound, requestHash)) {
         return std::nullopt;
     }
     // A part in heavy use is held by several: were all gateways to take the first one with room, they would fill it
--- a/sequoiausher/coordination/gateway/holderchoice.h
+++ b/sequoiausher/coordination/gateway/holderchoice.h
@@ -15,7 +15,7 @@
 namespace Sequoiausher {
 
 /**
- * The index in load of a usable holder below load.lowestBound, drawn in proportion to the room below it; none where
+ * The index in load of a usable holder below load.minimumBound, drawn in proportion to the room below it; none where
  * there is no room, and the more often none the less room all holders have together, once that is little.
  * @param holders those that are not in load are passed over.
  * @param requestHash differs from request to request.
--- a/sequoiausher/coordination/gateway/holderchoicetest.cpp
+++ b/sequoiausher/coordination/gateway/holderchoicetest.cpp
@@ -14,7 +14,7 @@
 {
     PoolLoad load;
     load.targets = {{TargetId{"a"}, 1, first}, {TargetId{"b"}, 2, second}, {TargetId{"c"}, 3, 0}};
-    load.lowestBound = bound;
+    load.minimumBound = bound;
     return load;
 }
 
--- a/sequoiausher/coordination/gateway/targetboard.cpp
+++ b/sequoiausher/coordination/gateway/targetboard.cpp
@@ -356,7 +356,7 @@
         target.usable = target.usable || (useAvoided && !excluded && now >= candidates[i]->restUntil);
         usable += target.usable ? 1 : 0;
     }
-    load.lowestBound = loadBound(criteria.boundPercent, load.total, load.counted) + boundSlack;
+    load.minimumBound = loadBound(criteria.boundPercent, load.total, load.counted) + boundSlack;
     const std::optional<std::size_t> holder = chooseHolder(criteria.holders, load, criteria.requestHash);
     // A part that several hold and none takes is in heavy use: by its hash all gateways would fill one more target.
     const bool isHeavilyUsed = !holder && sharesRoom && usableAmong(criteria.holders, load) >= holdersOfHeavyUse;
--- a/sequoiausher/coordination/limits/admissionqueue.cpp
+++ b/sequoiausher/coordination/limits/admissionqueue.cpp
@@ -40,9 +40,9 @@
 class AdmissionQueue::Private
 {
 public:
-    explicit Private(const AdmissionQueueSettings &bounds)
-        : settings(bounds)
-        , effectiveSlots(static_cast<double>(bounds.slots))
+    explicit Private(const AdmissionQueueSettings &queueSettings)
+        : settings(queueSettings)
+        , effectiveSlots(static_cast<double>(queueSettings.slots))
     {
     }
 
@@ -114,7 +114,7 @@
         this->scheduler.recordServed(index, waits);
         const QueueEntry entry = this->classes[index].takeFirst(*nextOrganisations[index]);
         this->dispatch(now, entry);
-        actions.push_back({entry, {QueueVerdict::Dispatch, RefuseReason::None, {}}});
+        actions.push_back({entry, {QueueVerdict::Dispatch, QueueRefusalReason::None, {}}});
         return true;
     }
 
@@ -145,7 +145,7 @@
         return pause + Millis{static_cast<std::int64_t>(std::ceil(waitMs))};
     }
 
-    QueueDecision makeRefusal(const QueueEntry &entry, RefuseReason reason, Millis estimated) const
+    QueueDecision makeRefusal(const QueueEntry &entry, QueueRefusalReason reason, Millis estimated) const
     {
         const Millis bounded = std::clamp(estimated, this->settings.minRetryAfter, this->settings.maxRetryAfter);
         constexpr std::uint64_t steps = 1024;
@@ -179,7 +179,7 @@
         }
         const QueueEntry shed = flows.takeLast(mostBacklogged);
         const Millis estimated = this->estimateWait(now, lowest, flows.countAheadOfNew(mostBacklogged));
-        actions.push_back({shed, this->makeRefusal(shed, RefuseReason::Full, estimated)});
+        actions.push_back({shed, this->makeRefusal(shed, QueueRefusalReason::Full, estimated)});
         return true;
     }
 
@@ -198,7 +198,7 @@
             this->classes[index].forEach([&](const QueueEntry &entry, std::size_t ahead) {
                 const Millis estimated = this->estimateWait(now, index, ahead);
                 if (now + (byEstimate ? estimated : Millis{0}) > entry.dispatchBy) {
-                    late.push_back({entry, this->makeRefusal(entry, RefuseReason::Deadline, estimated)});
+                    late.push_back({entry, this->makeRefusal(entry, QueueRefusalReason::Deadline, estimated)});
                 }
             });
         }
@@ -237,24 +237,24 @@
     const bool isNext = this->d->classes[index].countWaiting(entry.organisation) == 0;
     if (isNext && this->d->hasFreeSlot() && this->d->isOpen(now, entry.organisation, index)) {
         this->d->dispatch(now, entry);
-        return {QueueVerdict::Dispatch, RefuseReason::None, {}};
+        return {QueueVerdict::Dispatch, QueueRefusalReason::None, {}};
     }
     const std::size_t ahead = this->d->classes[index].countAheadOfNew(entry.organisation);
     const Millis estimated = this->d->estimateWait(now, index, ahead);
     if (entry.dispatchBy != Millis::never()) {
         const double timeLeftMs = static_cast<double>((entry.dispatchBy - now).count) * maxWaitFraction;
         if (static_cast<double>(estimated.count) > timeLeftMs) {
-            return this->d->makeRefusal(entry, RefuseReason::Deadline, estimated);
+            return this->d->makeRefusal(entry, QueueRefusalReason::Deadline, estimated);
         }
     }
     if (this->d->waiting() >= this->d->settings.maxWaiting && !this->d->shedOne(now, &entry, actions)) {
-        return this->d->makeRefusal(entry, RefuseReason::Full, estimated);
+        return this->d->makeRefusal(entry, QueueRefusalReason::Full, estimated);
     }
     if (this->d->waiting() == 0) {
         this->d->lastCheck = now;
     }
     this->d->classes[index].add(entry);
-    return {QueueVerdict::Queue, RefuseReason::None, {}};
+    return {QueueVerdict::Queue, QueueRefusalReason::None, {}};
 }
 
 void AdmissionQueue::finish(Millis now, const RequestId &request, std::vector<QueueAction> &actions)
@@ -353,7 +353,7 @@
     return found == this->d->inFlightRequests.end() ? std::nullopt : std::optional(found->second.entry);
 }
 
-std::size_t AdmissionQueue::slots() const
+std::size_t AdmissionQueue::effectiveSlots() const
 {
     return static_cast<std::size_t>(this->d->effectiveSlots);
 }
--- a/sequoiausher/coordination/limits/admissionqueue.h
+++ b/sequoiausher/coordination/limits/admissionqueue.h
@@ -63,7 +63,7 @@
     std::optional<QueueEntry> dispatched(const RequestId &request) const;
 
     /** The number of requests that the pool currently has room for from this router, at most the configured slots. */
-    std::size_t slots() const;
+    std::size_t effectiveSlots() const;
 
 private:
     class Private;
--- a/sequoiausher/coordination/limits/admissionqueuetest.cpp
+++ b/sequoiausher/coordination/limits/admissionqueuetest.cpp
@@ -20,9 +20,9 @@
 }
 
 /** A queue with one slot, which request 1000 occupies, and by default room for four waiting requests. */
-struct Busy
+struct BusyQueue
 {
-    explicit Busy(std::size_t maxWaiting = 4) : queue({1, maxWaiting, Millis{50}, Millis{1000}, Millis{30000}})
+    explicit BusyQueue(std::size_t maxWaiting = 4) : queue({1, maxWaiting, Millis{50}, Millis{1000}, Millis{30000}})
     {
         this->queue.offer(Millis{0}, entryOf(1000, "first"), this->actions);
     }
@@ -55,26 +55,32 @@
         int shed;
     };
     constexpr auto urgent = RequestClass::Urgent;
-    constexpr auto normal = RequestClass::Interactive;
-    constexpr auto low = RequestClass::Background;
+    constexpr auto interactive = RequestClass::Interactive;
+    constexpr auto background = RequestClass::Background;
     const std::vector<Row> rows{
-        {"background is shed for urgent", {{"a", urgent}, {"b", normal}, {"c", low}, {"d", urgent}}, {"e", urgent}, 2},
+        {"background is shed for urgent",
+         {{"a", urgent}, {"b", interactive}, {"c", background}, {"d", urgent}},
+         {"e", urgent},
+         2},
         {"interactive is shed for urgent",
-         {{"a", urgent}, {"b", normal}, {"c", urgent}, {"d", urgent}},
+         {{"a", urgent}, {"b", interactive}, {"c", urgent}, {"d", urgent}},
          {"e", urgent},
          1},
-        {"background is shed for interactive", {{"a", low}, {"a", low}, {"b", low}, {"c", normal}}, {"b", normal}, 1},
+        {"background is shed for interactive",
+         {{"a", background}, {"a", background}, {"b", background}, {"c", interactive}},
+         {"b", interactive},
+         1},
         {"arriving background is refused",
-         {{"a", urgent}, {"a", urgent}, {"a", urgent}, {"a", normal}},
-         {"b", low},
+         {{"a", urgent}, {"a", urgent}, {"a", urgent}, {"a", interactive}},
+         {"b", background},
          -1},
         {"a surging organisation loses its newest",
-         {{"a", normal}, {"a", normal}, {"a", normal}, {"b", normal}},
-         {"c", normal},
+         {{"a", interactive}, {"a", interactive}, {"a", interactive}, {"b", interactive}},
+         {"c", interactive},
          2},
         {"a surging organisation's arriving request is refused",
-         {{"a", normal}, {"a", normal}, {"a", normal}, {"b", normal}},
-         {"a", normal},
+         {{"a", interactive}, {"a", interactive}, {"a", interactive}, {"b", interactive}},
+         {"a", interactive},
          -1},
         {"urgent is shed only for urgent of an organisation with less",
          {{"a", urgent}, {"a", urgent}, {"b", urgent}, {"c", urgent}},
@@ -83,7 +89,7 @@
     };
     for (const Row &row : rows) {
         CAPTURE(row.what);
-        Busy busy;
+        BusyQueue busy;
         std::uint64_t id = 0;
         for (const auto &waiting : row.waiting) {
             const QueueEntry entry = entryOf(id++, waiting.first, waiting.second);
@@ -95,7 +101,7 @@
         CHECK(busy.actions.size() == (row.shed < 0 ? 0U : 1U));
         if (row.shed >= 0 && !busy.actions.empty()) {
             CHECK(busy.actions.front().entry.request.low == static_cast<std::uint64_t>(row.shed));
-            CHECK(busy.actions.front().decision.reason == RefuseReason::Full);
+            CHECK(busy.actions.front().decision.reason == QueueRefusalReason::Full);
             CHECK(busy.actions.front().decision.retryAfter >= Millis{1000});
         }
     }
@@ -105,7 +111,7 @@
 // faster than they are served.
 TEST_CASE("many urgent requests delay neither interactive nor background requests beyond the documented bounds")
 {
-    Busy busy(1000);
+    BusyQueue busy(1000);
     std::uint64_t id = 0;
     for (int i = 0; i < 300; ++i) {
         busy.queue.offer(Millis{1}, entryOf(++id, "u", RequestClass::Urgent), busy.actions);
@@ -130,7 +136,7 @@
 
 TEST_CASE("organisations share by work, however many requests one of them has waiting")
 {
-    Busy busy(1000);
+    BusyQueue busy(1000);
     for (std::uint64_t i = 1; i <= 100; ++i) {
         busy.queue.offer(Millis{1}, entryOf(i, "surging"), busy.actions);
     }
@@ -152,7 +158,7 @@
 // deadline, too late for the caller to try elsewhere.
 TEST_CASE("a request that cannot meet its deadline is refused on arrival, or on the first check after others got ahead")
 {
-    Busy busy(100);
+    BusyQueue busy(100);
     for (std::uint64_t i = 1; i <= 20; ++i) {
         busy.queue.offer(Millis{1}, entryOf(i, "a"), busy.actions);
     }
@@ -160,7 +166,7 @@
     const QueueDecision decision
         = busy.queue.offer(Millis{100}, entryOf(50, "a", RequestClass::Interactive, Millis{1600}), busy.actions);
     CHECK(decision.verdict == QueueVerdict::Refuse);
-    CHECK(decision.reason == RefuseReason::Deadline);
+    CHECK(decision.reason == QueueRefusalReason::Deadline);
     CHECK(decision.retryAfter >= Millis{2000});
     CHECK(decision.retryAfter <= Millis{2500});
     const QueueEntry other = entryOf(51, "b", RequestClass::Interactive, Millis{900});
@@ -179,12 +185,12 @@
 // becomes free before the next one. Deadlines must also be checked on dispatch.
 TEST_CASE("a request whose deadline has passed is not dispatched")
 {
-    Busy busy;
+    BusyQueue busy;
     const QueueEntry entry = entryOf(1, "a", RequestClass::Urgent, Millis{30});
     REQUIRE(busy.queue.offer(Millis{1}, entry, busy.actions).verdict == QueueVerdict::Queue);
     busy.queue.finish(Millis{31}, busy.inFlightId, busy.actions);
     REQUIRE(busy.actions.size() == 1);
-    CHECK(busy.actions.front().decision.reason == RefuseReason::Deadline);
+    CHECK(busy.actions.front().decision.reason == QueueRefusalReason::Deadline);
     CHECK(busy.queue.inFlight() == 0);
 }
 
@@ -196,7 +202,7 @@
         queue.offer(Millis{0}, entryOf(i, "a"), actions);
     }
     queue.putBack(Millis{1}, {0, 4}, Millis{200}, actions);
-    CHECK(queue.slots() == 3);
+    CHECK(queue.effectiveSlots() == 3);
     queue.finish(Millis{10}, {0, 1}, actions);
     CHECK(actions.empty());
     CHECK(queue.nextDeadline() <= Millis{201});
@@ -206,7 +212,7 @@
     for (std::uint64_t i = 2; i <= 6; ++i) {
         queue.finish(Millis{300}, {0, i}, actions);
     }
-    CHECK(queue.slots() == 4);
+    CHECK(queue.effectiveSlots() == 4);
     CHECK(queue.inFlight() == 0);
     CHECK(queue.nextDeadline() == Millis::never());
 }
--- a/sequoiausher/coordination/limits/dispatchqueue.h
+++ b/sequoiausher/coordination/limits/dispatchqueue.h
@@ -48,7 +48,7 @@
     {QueueVerdict::Refuse, "refuse"},
 });
 
-enum class RefuseReason {
+enum class QueueRefusalReason {
     None,
     /** The queue is full, and the other requests take precedence. */
     Full,
@@ -57,17 +57,17 @@
 };
 
 template<>
-inline constexpr auto nameTable<RefuseReason> = std::to_array<NameEntry<RefuseReason>>({
-    {RefuseReason::None, "none"},
-    {RefuseReason::Full, "full"},
-    {RefuseReason::Deadline, "deadline"},
+inline constexpr auto nameTable<QueueRefusalReason> = std::to_array<NameEntry<QueueRefusalReason>>({
+    {QueueRefusalReason::None, "none"},
+    {QueueRefusalReason::Full, "full"},
+    {QueueRefusalReason::Deadline, "deadline"},
 });
 
 /** The decision about a request. */
 struct QueueDecision
 {
     QueueVerdict verdict = QueueVerdict::Queue;
-    RefuseReason reason = RefuseReason::None;
+    QueueRefusalReason reason = QueueRefusalReason::None;
     /** With Refuse: the delay after which the caller may retry. */
     Millis retryAfter;
 };
--- a/sequoiausher/coordination/limits/fairflows.cpp
+++ b/sequoiausher/coordination/limits/fairflows.cpp
@@ -42,7 +42,7 @@
     }
 
     /** Counts the requests of flows other than own that start at or before tag. */
-    std::size_t countStartingBefore(double tag, const OrganisationId &own) const
+    std::size_t estimateStartingUntil(double tag, const OrganisationId &own) const
     {
         std::size_t count = 0;
         for (const auto &item : this->flows) {
@@ -193,10 +193,10 @@
 {
     const auto found = this->d->flows.find(organisation);
     if (found == this->d->flows.end()) {
-        return this->d->countStartingBefore(this->d->virtualTime, organisation);
+        return this->d->estimateStartingUntil(this->d->virtualTime, organisation);
     }
     const double start = std::max(found->second.tag + found->second.cost, this->d->virtualTime);
-    return found->second.entries.size() + this->d->countStartingBefore(start, organisation);
+    return found->second.entries.size() + this->d->estimateStartingUntil(start, organisation);
 }
 
 void FairFlows::forEach(const std::function<void(const QueueEntry &, std::size_t)> &visit) const
@@ -205,7 +205,7 @@
         double start = item.second.tag;
         std::size_t position = 0;
         for (const QueueEntry &entry : item.second.entries) {
-            visit(entry, position + this->d->countStartingBefore(start, item.first));
+            visit(entry, position + this->d->estimateStartingUntil(start, item.first));
             start += entry.cost;
             ++position;
         }
--- a/sequoiausher/coordination/limits/fifoqueue.cpp
+++ b/sequoiausher/coordination/limits/fifoqueue.cpp
@@ -21,11 +21,11 @@
             const QueueEntry entry = this->waitingRequests.front();
             this->waitingRequests.pop_front();
             if (now >= entry.dispatchBy) {
-                actions.push_back({entry, {QueueVerdict::Refuse, RefuseReason::Deadline, fixedRetryAfter}});
+                actions.push_back({entry, {QueueVerdict::Refuse, QueueRefusalReason::Deadline, fixedRetryAfter}});
                 continue;
             }
             this->inFlightRequests.emplace(entry.request, entry);
-            actions.push_back({entry, {QueueVerdict::Dispatch, RefuseReason::None, {}}});
+            actions.push_back({entry, {QueueVerdict::Dispatch, QueueRefusalReason::None, {}}});
         }
     }
 
@@ -50,13 +50,13 @@
     if (this->d->waitingRequests.empty() && this->d->inFlightRequests.size() < this->d->slots
         && now >= this->d->pausedUntil) {
         this->d->inFlightRequests.emplace(entry.request, entry);
-        return {QueueVerdict::Dispatch, RefuseReason::None, {}};
+        return {QueueVerdict::Dispatch, QueueRefusalReason::None, {}};
     }
     if (this->d->waitingRequests.size() >= this->d->maxWaiting) {
-        return {QueueVerdict::Refuse, RefuseReason::Full, fixedRetryAfter};
+        return {QueueVerdict::Refuse, QueueRefusalReason::Full, fixedRetryAfter};
     }
     this->d->waitingRequests.push_back(entry);
-    return {QueueVerdict::Queue, RefuseReason::None, {}};
+    return {QueueVerdict::Queue, QueueRefusalReason::None, {}};
 }
 
 void FifoQueue::finish(Millis now, const RequestId &request, std::vector<QueueAction> &actions)
--- a/sequoiausher/coordination/limits/ratelimit.cpp
+++ b/sequoiausher/coordination/limits/ratelimit.cpp
@@ -64,7 +64,7 @@
 };
 
 /** A demand that this router reported. */
-struct Sample
+struct DemandSample
 {
     Millis at;
     double perSecond = 0;
@@ -82,7 +82,7 @@
     std::array<Bucket, requestClassCount> classes;
     Demand own;
     /** The reported demands, oldest first. */
-    std::deque<Sample> samples;
+    std::deque<DemandSample> samples;
     double fleetDemand = 0;
     std::optional<Millis> fleetDemandAt;
 };
@@ -130,7 +130,7 @@
     {
         double own = organisation.own.perSecond;
         const Millis oldest = *organisation.fleetDemandAt - std::max(maxReportAge, this->demandTtl / 3);
-        for (const Sample &sample : organisation.samples) {
+        for (const DemandSample &sample : organisation.samples) {
             if (sample.at >= oldest && sample.at <= *organisation.fleetDemandAt) {
                 own = std::min(own, sample.perSecond);
             }
@@ -236,7 +236,7 @@
         Organisation &organisation = item.second;
         organisation.own.decay(now);
         if (organisation.samples.empty() || now - organisation.samples.back().at >= sampleInterval) {
-            organisation.samples.push_back(Sample{now, organisation.own.perSecond});
+            organisation.samples.push_back(DemandSample{now, organisation.own.perSecond});
         }
         if (organisation.samples.size() > maxSamples) {
             organisation.samples.pop_front();
--- a/sequoiausher/coordination/limits/reservationwindowstest.cpp
+++ b/sequoiausher/coordination/limits/reservationwindowstest.cpp
@@ -35,13 +35,13 @@
     windows.recordFull(Millis{0}, one, interactive);
     std::size_t most = 0;
     for (std::size_t round = 1; round < ReservationWindows::maxLimit; ++round) {
-        std::size_t asked = 0;
-        while (asked <= ReservationWindows::maxLimit && windows.isOpen(Millis{1}, one, interactive)) {
+        std::size_t started = 0;
+        while (started <= ReservationWindows::maxLimit && windows.isOpen(Millis{1}, one, interactive)) {
             windows.startReservation(one, interactive);
-            asked += 1;
+            started += 1;
         }
-        most = std::max(most, asked);
-        CHECK(asked == (round == 1 ? 1 : 2));
+        most = std::max(most, started);
+        CHECK(started == (round == 1 ? 1 : 2));
         windows.endReservation(one, interactive);
     }
     CHECK(windows.isOpen(Millis{1}, one, interactive));
--- a/sequoiausher/coordination/limits/retrybudget.h
+++ b/sequoiausher/coordination/limits/retrybudget.h
@@ -38,7 +38,7 @@
     bool tryRetry(Millis now);
 
 private:
-    void fill(Millis now, double tokens);
+    void fill(Millis now, double earned);
 
     RetryBudgetSettings settings;
     double tokens = 0;
--- a/sequoiausher/coordination/limits/rulequeues.cpp
+++ b/sequoiausher/coordination/limits/rulequeues.cpp
@@ -7,10 +7,10 @@
 {
     auto known = this->queues.find(key);
     if (known == this->queues.end()) {
-        AdmissionQueueSettings bounds;
-        bounds.slots = key.inFlight;
-        bounds.maxWaiting = key.queueLength;
-        known = this->queues.try_emplace(key, bounds).first;
+        AdmissionQueueSettings queueSettings;
+        queueSettings.slots = key.inFlight;
+        queueSettings.maxWaiting = key.queueLength;
+        known = this->queues.try_emplace(key, queueSettings).first;
     }
     return known->second.offer(now, entry, actions);
 }
--- a/sequoiausher/coordination/policies/policy.cpp
+++ b/sequoiausher/coordination/policies/policy.cpp
@@ -29,7 +29,7 @@
 
 std::uint64_t effectiveBound(const PoolLoad &load, const PolicyRequest &request)
 {
-    return std::max(loadBound(request.boundPercent, load.total, load.counted), load.lowestBound);
+    return std::max(loadBound(request.boundPercent, load.total, load.counted), load.minimumBound);
 }
 
 bool canAccept(const TargetLoad &target, std::uint64_t bound)
--- a/sequoiausher/coordination/policies/policy.h
+++ b/sequoiausher/coordination/policies/policy.h
@@ -37,7 +37,7 @@
     /** The number of targets that count for the mean. */
     std::uint64_t counted = 0;
     /** The minimum of the load bound, for a total that may lag behind the requests in flight on the targets. */
-    std::uint64_t lowestBound = 0;
+    std::uint64_t minimumBound = 0;
 };
 
 /** The properties of a request that a policy uses. */
--- a/sequoiausher/coordination/policies/policytest.cpp
+++ b/sequoiausher/coordination/policies/policytest.cpp
@@ -165,7 +165,7 @@
 {
     const auto policy = makePolicy(PolicyKind::RoomRendezvous, 1);
     PoolLoad load = poolOf({9, 7, 1, 10});
-    load.lowestBound = 10;
+    load.minimumBound = 10;
     std::map<std::size_t, int> counts;
     for (std::uint64_t chat = 1; chat <= 1200; ++chat) {
         const auto chosen = policy->choose(load, PolicyRequest{hash64(std::to_string(chat)), 100});
--- a/sequoiausher/coordination/rules/condition.cpp
+++ b/sequoiausher/coordination/rules/condition.cpp
@@ -178,7 +178,7 @@
     return true;
 }
 
-void checkNames(SectionReader &section, const IniEntry &entry, const Condition &condition)
+void checkPatterns(SectionReader &section, const IniEntry &entry, const Condition &condition)
 {
     std::vector<std::string> known;
     if (condition.kind == ConditionKind::Class) {
@@ -217,7 +217,7 @@
     }
     if (isText(condition.kind)) {
         condition.patterns = parts;
-        checkNames(section, entry, condition);
+        checkPatterns(section, entry, condition);
         conditions.push_back(std::move(condition));
         return;
     }
--- a/sequoiausher/transport/router/answerwriter.cpp
+++ b/sequoiausher/transport/router/answerwriter.cpp
@@ -9,7 +9,7 @@
 std::string sentenceOf(RefusalReason reason)
 {
     switch (reason) {
-    case RefusalReason::ShedByLimit:
+    case RefusalReason::RateLimited:
         return "The organisation's limit is reached.";
     case RefusalReason::NoTarget:
         return "No target can take the request.";
--- a/sequoiausher/transport/router/flowresults.cpp
+++ b/sequoiausher/transport/router/flowresults.cpp
@@ -49,7 +49,7 @@
 Outcome outcomeOf(const Refuse &refusal)
 {
     switch (refusal.reason) {
-    case RefusalReason::ShedByLimit:
+    case RefusalReason::RateLimited:
         return Outcome::RefusedLimit;
     case RefusalReason::NoQuorum:
     case RefusalReason::RouterPaused:
--- a/sequoiausher/transport/router/flowresultstest.cpp
+++ b/sequoiausher/transport/router/flowresultstest.cpp
@@ -65,7 +65,7 @@
         Outcome outcome;
     };
     const std::vector<Case> cases{
-        {RefusalReason::ShedByLimit, Ran::No, Outcome::RefusedLimit},
+        {RefusalReason::RateLimited, Ran::No, Outcome::RefusedLimit},
         {RefusalReason::NoTarget, Ran::No, Outcome::RefusedFull},
         {RefusalReason::PoolFull, Ran::No, Outcome::RefusedFull},
         {RefusalReason::TargetUnreachable, Ran::No, Outcome::RefusedFull},
--- a/sequoiausher/transport/router/requestsessionprivate.cpp
+++ b/sequoiausher/transport/router/requestsessionprivate.cpp
@@ -186,7 +186,7 @@
 {
     const Ran ran = this->claims ? Ran::Unknown : Ran::No;
     if (this->place.isAtGate()) {
-        this->refuseAtOnce(Refuse{statusTooMany, ran, RefusalReason::ShedByLimit, retryAfter});
+        this->refuseAtOnce(Refuse{statusTooMany, ran, RefusalReason::RateLimited, retryAfter});
     } else {
         this->refuseAtOnce(Refuse{statusUnavailable, ran, RefusalReason::PoolFull, retryAfter});
     }
