--- a/sequoiausher/coordination/flow/flowaction.h
+++ b/sequoiausher/coordination/flow/flowaction.h
@@ -20,7 +20,7 @@
     Yes,
     /** Certainly not run, so it may be resent. */
     No,
-    /** The request may have run; the system does not resend it. */
+    /** The request may have run; it is resent only if it is idempotent. */
     Unknown,
 };
 
@@ -175,7 +175,7 @@
     int status = 0;
     Ran ran = Ran::No;
     RefusalReason reason = RefusalReason::NoTarget;
-    /** Zero if a retry cannot succeed. */
+    /** Zero if the client is given no retry delay. */
     Millis retryAfter;
 };
 
--- a/sequoiausher/coordination/flow/requestflow.cpp
+++ b/sequoiausher/coordination/flow/requestflow.cpp
@@ -13,7 +13,10 @@
 constexpr int statusUnavailable = 503;
 constexpr int statusTimeout = 504;
 
-/** The maximum number of claims of a request, which claims its key again if the holder turns out not to have run it. */
+/**
+ * The maximum number of times that a request claims its key: it does so again if the holder of the key did not run the
+ * request.
+ */
 constexpr int maxClaimAttempts = 4;
 
 enum class Stage {
@@ -99,7 +102,8 @@
     this->stage = Stage::Done;
 }
 
-// This attempt was not run. Whether an earlier attempt was run is certain only if there is no key, or the key was free.
+// This attempt was not run. That no earlier attempt was run is certain only if there is no key, or this attempt
+// acquired the key.
 void RequestFlow::Private::refuseNotRun(FlowActions &actions, int status, RefusalReason reason, Millis retryAfter)
 {
     const Ran ran = this->facts.needsClaim && !this->isKeyOwned ? Ran::Unknown : Ran::No;
@@ -149,8 +153,8 @@
     return streamMayExist && this->facts.resumable && this->resumes < this->facts.maxResumes;
 }
 
-// The holder of the key did not run its attempt, so the key is free and this attempt claims it again. Otherwise a
-// duplicate would be refused whenever the router of the first attempt found no place for it, although no attempt ran.
+// The holder did not run the request, so the key is free, and this attempt claims it again. Without this, a duplicate
+// would be refused whenever the router of the first attempt found no place for that attempt, although no attempt ran.
 bool RequestFlow::Private::restartAdmission(FlowActions &actions)
 {
     if (this->claimAttempts >= maxClaimAttempts) {
--- a/sequoiausher/coordination/flow/requestflow.h
+++ b/sequoiausher/coordination/flow/requestflow.h
@@ -25,7 +25,7 @@
     /**
      * Whether the request has an idempotency key that must be claimed before dispatch. All requests with the same key
      * count as one request, and an earlier attempt may be running elsewhere. So if the request ends before the claim is
-     * answered, the client is told that it is unknown whether the request was run.
+     * answered, it is reported as Ran::Unknown, except by clientGone(), which considers this attempt only.
      */
     bool needsClaim = false;
     /** Whether running the request twice is harmless, so that it may be resent after it may have run. */
@@ -60,7 +60,7 @@
     /** The reservation was answered. A place that is granted when none is awaited is released. */
     FlowActions reserved(Millis now, const ReserveReply &reply);
 
-    /** The queue dispatched the request after Requeue. */
+    /** The queue let the request try another reservation after Requeue. */
     FlowActions requeued(Millis now);
 
     /** The queue refused the request after Requeue; nothing was sent. */
@@ -85,7 +85,9 @@
      */
     FlowActions targetFailed(Millis now, TargetFailure failure, bool budgetAllows = true);
 
-    /** The holder gave no answer. With Ran::No it did not run the request, so the key is claimed again, up to a limit.
+    /**
+     * The holder gave no complete answer. With Ran::No, the holder did not run the request. Then the key is claimed
+     * again, up to a limit, if no head was relayed. Otherwise the request ends.
      */
     FlowActions attachFailed(Millis now, Ran ran);
 
--- a/sequoiausher/coordination/flow/requestflowtest.cpp
+++ b/sequoiausher/coordination/flow/requestflowtest.cpp
@@ -107,11 +107,25 @@
         {"never sent: another target", TargetFailure::NeverSent, false, false, false, true, false, false},
         {"target refused: another target", TargetFailure::RefusedByTarget, false, false, false, true, false, false},
         {"no head: may have run", TargetFailure::NoHead, false, false, false, false, false, false},
-        {"no head, idempotent: sent again", TargetFailure::NoHead, true, false, false, true, false, false},
+        {"no head, idempotent: resent", TargetFailure::NoHead, true, false, false, true, false, false},
         {"no head from an engine: resumed", TargetFailure::NoHead, false, true, false, false, true, false},
-        {"broke off at an engine: resumed", TargetFailure::AnswerTruncated, false, true, true, false, true, false},
-        {"broke off at a service", TargetFailure::AnswerTruncated, false, false, true, false, false, true},
-        {"broke off, idempotent, but begun", TargetFailure::AnswerTruncated, true, false, true, false, false, true},
+        {"answer truncated at an engine: resumed",
+         TargetFailure::AnswerTruncated,
+         false,
+         true,
+         true,
+         false,
+         true,
+         false},
+        {"answer truncated at a service", TargetFailure::AnswerTruncated, false, false, true, false, false, true},
+        {"answer truncated, idempotent, head already relayed",
+         TargetFailure::AnswerTruncated,
+         true,
+         false,
+         true,
+         false,
+         false,
+         true},
         {"another request's answer", TargetFailure::WrongAnswer, false, false, false, false, false, false},
         {"cannot resume", TargetFailure::CannotResume, false, true, true, false, false, true},
     };
@@ -190,7 +204,7 @@
 TEST_CASE("a retry that finds the pool full is not reported as not run before its claim is answered")
 {
     // Guards against reporting 'not run' while a first attempt with the same key is running: the retry's reservation is
-    // refused before its claim is answered, and a refused reservation says nothing of other attempts.
+    // refused before its claim is answered, and a refused reservation does not show whether another attempt is running.
     const ReserveReply full{{}, ReserveVerdict::Full, {}, Millis{200}};
     const ClaimFinding held{ClaimResult::HeldByOther, InstanceId{"r3"}, RequestId{1, 2}, {}};
     RequestFlow retry(claimedFacts());
@@ -275,7 +289,7 @@
     CHECK(has<WithdrawClaim>(actions));
 }
 
-TEST_CASE("the deadline ends a request immediately, and the client is told whether it was run")
+TEST_CASE("the deadline ends a request immediately, and the refusal reports whether it was run, as far as known")
 {
     RequestFlow waiting(claimedFacts());
     waiting.start(start);
--- a/sequoiausher/coordination/limits/admissionqueue.cpp
+++ b/sequoiausher/coordination/limits/admissionqueue.cpp
@@ -216,7 +216,10 @@
     std::unordered_map<RequestId, InFlightRequest> inFlightRequests;
     /** The number of slots that the pool has room for; the fractional part is growth towards the next slot. */
     double effectiveSlots = 1;
-    /** Mean time in flight; 0 until a request has finished, so that no wait is considered too long before. */
+    /**
+     * Mean time in flight; 0 until a request has finished. Until then, an estimated wait consists only of the remaining
+     * pause.
+     */
     double meanServiceMs = 0;
     Millis pausedUntil;
     Millis lastCheck;
--- a/sequoiausher/coordination/limits/admissionqueue.h
+++ b/sequoiausher/coordination/limits/admissionqueue.h
@@ -62,7 +62,7 @@
     /** Returns the request as it was offered while it is in flight; std::nullopt otherwise. */
     std::optional<QueueEntry> dispatched(const RequestId &request) const;
 
-    /** The number of requests that the pool currently has room for from this router, at most the configured slots. */
+    /** The estimated number of requests that the pool has room for from this router, at most the configured slots. */
     std::size_t effectiveSlots() const;
 
 private:
--- a/sequoiausher/coordination/limits/admissionqueuetest.cpp
+++ b/sequoiausher/coordination/limits/admissionqueuetest.cpp
@@ -74,7 +74,7 @@
          {{"a", urgent}, {"a", urgent}, {"a", urgent}, {"a", interactive}},
          {"b", background},
          -1},
-        {"a surging organisation loses its newest",
+        {"the newest request of a surging organisation is shed",
          {{"a", interactive}, {"a", interactive}, {"a", interactive}, {"b", interactive}},
          {"c", interactive},
          2},
@@ -246,7 +246,7 @@
     }
 }
 
-TEST_CASE("after a full pool, a backlog reserves one at a time, and more with each reservation granted")
+TEST_CASE("after a refused reservation, a backlog reserves one at a time, and one more with each reservation granted")
 {
     AdmissionQueue queue({64, 100, Millis{50}, Millis{1000}, Millis{30000}});
     std::vector<QueueAction> actions;
@@ -268,7 +268,8 @@
 }
 
 TEST_CASE(
-    "for any events, bounds hold, each request is decided exactly once, and organisation and class are served in order")
+    "for any events, bounds hold, each request is decided exactly once, and requests of one organisation and class are "
+    "dispatched in order of arrival")
 {
     CHECK(rc::check([] {
         AdmissionQueue queue({3, 12, Millis{50}, Millis{1000}, Millis{30000}});
--- a/sequoiausher/coordination/limits/classscheduler.h
+++ b/sequoiausher/coordination/limits/classscheduler.h
@@ -16,8 +16,9 @@
 
 namespace Sequoiausher {
 
-/** At least one of this many consecutive dispatches is of the class, while requests of the class wait. */
+/** At least one of this many consecutive dispatches is interactive, while such requests wait and are ready. */
 inline constexpr std::uint32_t interactiveInterval = 8;
+/** At least one of this many consecutive dispatches is background, while such requests wait and are ready. */
 inline constexpr std::uint32_t backgroundInterval = 33;
 
 /** One flag for each class, in the order of the classes. */
@@ -32,8 +33,7 @@
 
     /**
      * Records that a request of the class was served.
-     * @param waiting the classes with waiting requests before that. A class without any loses its claim to the next
-     * turn.
+     * @param waiting the classes with waiting requests before that. The count of a class without any is reset.
      */
     void recordServed(std::size_t index, const ClassFlags &waiting);
 
--- a/sequoiausher/coordination/limits/dispatchqueue.h
+++ b/sequoiausher/coordination/limits/dispatchqueue.h
@@ -2,6 +2,8 @@
 
 // The queue of a router in front of one pool: it decides which requests are dispatched, which wait and which are
 // refused.
+// A request that a queue dispatches starts its reservation. It is sent to a target only once the reservation is granted
+// (Dispatch in flowaction.h).
 //
 //     AdmissionQueue queue(settings);
 //     std::vector<QueueAction> actions;
--- a/sequoiausher/coordination/limits/fairflows.cpp
+++ b/sequoiausher/coordination/limits/fairflows.cpp
@@ -14,6 +14,7 @@
     std::deque<QueueEntry> entries;
     /** The start tag of the first request. */
     double tag = 0;
+    /** The total cost of the entries. */
     double cost = 0;
 };
 
@@ -41,7 +42,7 @@
         });
     }
 
-    /** Counts the requests of flows other than own that start at or before tag. */
+    /** Estimates, from the mean cost of each flow, how many requests of flows other than own start at or before tag. */
     std::size_t estimateStartingUntil(double tag, const OrganisationId &own) const
     {
         std::size_t count = 0;
--- a/sequoiausher/coordination/limits/fairflows.h
+++ b/sequoiausher/coordination/limits/fairflows.h
@@ -37,7 +37,7 @@
 
     /** Adds a request after the others of its organisation. */
     void add(const QueueEntry &entry);
-    /** Adds a request before the others of its organisation, and undoes the charge of takeNext(). */
+    /** Adds a request before the others of its organisation, and undoes the charge of takeFirst(). */
     void putBack(const QueueEntry &entry);
     /** Returns the number of waiting requests of an organisation. */
     std::size_t countWaiting(const OrganisationId &organisation) const;
@@ -55,16 +55,16 @@
 
     /**
      * Returns the organisation with the most work waiting, which is the one furthest above its fair share. Counts
-     * arriving as waiting. Among equals, the organisation of arriving is chosen; without arriving, the last one by
-     * name. std::nullopt if no request waits and arriving is nullptr.
+     * arriving as waiting. Among equals, the organisation of arriving is chosen, otherwise the first by name; without
+     * arriving, the last by name. std::nullopt if no request waits and arriving is nullptr.
      */
     std::optional<OrganisationId> findMostBacklogged(const QueueEntry *arriving) const;
     /** Takes the last request of an organisation, which must have one. Charges nothing. */
     QueueEntry takeLast(const OrganisationId &organisation);
 
-    /** Returns how many requests would be served before a new one of this organisation, if no others arrive. */
+    /** Estimates how many requests would be served before a new one of this organisation, if no others arrive. */
     std::size_t countAheadOfNew(const OrganisationId &organisation) const;
-    /** Calls visit with each waiting request and the number of requests that would be served before it. */
+    /** Calls visit with each waiting request and the estimated number of requests that would be served before it. */
     void forEach(const std::function<void(const QueueEntry &, std::size_t ahead)> &visit) const;
 
 private:
--- a/sequoiausher/coordination/limits/poolguard.h
+++ b/sequoiausher/coordination/limits/poolguard.h
@@ -40,7 +40,7 @@
     void recordAttempt(Millis now, const TargetId &target);
     /** Records that the target answered. */
     void recordSuccess(const TargetId &target);
-    /** Records that the target could not be reached, broke off its answer or was silent. */
+    /** Records that the target could not be reached, truncated its answer or was silent. */
     void recordFailure(Millis now, const TargetId &target);
     /** Drops the failures of a target that was restarted or removed. */
     void forget(const TargetId &target);
--- a/sequoiausher/coordination/limits/ratelimit.cpp
+++ b/sequoiausher/coordination/limits/ratelimit.cpp
@@ -63,7 +63,7 @@
     }
 };
 
-/** A demand that this router reported. */
+/** This router's demand at a call of collectReports(), whether or not it was reported. */
 struct DemandSample
 {
     Millis at;
@@ -72,7 +72,7 @@
 
 constexpr Millis sampleInterval{500};
 constexpr std::size_t maxSamples = 128;
-/** The maximum age of a report within a sum, or a third of the TTL if that is longer. */
+/** The maximum age of a report when it is added to a sum; a third of the demand TTL if that is longer. */
 constexpr Millis maxReportAge{2000};
 
 struct Organisation
@@ -81,7 +81,7 @@
     Bucket total;
     std::array<Bucket, requestClassCount> classes;
     Demand own;
-    /** The reported demands, oldest first. */
+    /** The demands at recent calls of collectReports(), oldest first. */
     std::deque<DemandSample> samples;
     double fleetDemand = 0;
     std::optional<Millis> fleetDemandAt;
@@ -122,9 +122,10 @@
     }
 
     /**
-     * Returns an upper bound of this router's contribution to the sum. The current demand cannot be used instead: if an
-     * organisation surges at all routers at once, each router's demand would be as large as the old sum, and each would
-     * allow nearly the whole limit, seven times the limit in total, until the sums are up to date.
+     * Returns a low estimate of this router's contribution to the sum: the lowest of its current demand and of the
+     * samples that the sum may include. The current demand alone cannot be used: if an organisation surges at all
+     * routers at once, each router's demand would be as large as the old sum, and each would allow nearly the whole
+     * limit, seven times the limit in total, until the sums are up to date.
      */
     double ownDemandInSum(const Organisation &organisation) const
     {
--- a/sequoiausher/coordination/limits/ratelimit.h
+++ b/sequoiausher/coordination/limits/ratelimit.h
@@ -16,9 +16,10 @@
 //
 //     share = max(L / N, own demand + (L - D) / N),
 //
-// since no request needs to be refused then. These shares add up to at most 2 L, until a surge shows in the sums. The
-// own demand is the one that this router reported for the sum, not the current one. Otherwise all routers would exceed
-// their shares in a surge, since their current demands add up to more than the old sum.
+// since no request needs to be refused then. These shares add up to at most 2 L. If the demand surges past L, more than
+// L may be admitted until the surge shows in the sums. Own demand is a low estimate of the demand that this router
+// reported for the sum, not its current one. Otherwise all routers would exceed their shares in a surge, since their
+// current demands add up to more than the old sum.
 //
 // The demand of the fleet comes from the caller (setFleetDemand()). It is the sum of reports that are sent with other
 // messages, only for organisations near their limit (collectReports()). If there is no recent sum, the share is L / N.
@@ -79,8 +80,8 @@
 /** The maximum of a router's share, as a multiple of the even share. */
 inline constexpr double maxShareToEvenRatio = 20;
 /**
- * A fleet demand older than this is not used. In large fleets, where demands are reported less often, the limit is
- * demandTtlPerRouter for each router if that is longer.
+ * The maximum age of a fleet demand that is used. In large fleets, where demands are reported less often, it is
+ * demandTtlPerRouter times the number of routers if that is longer.
  */
 inline constexpr Millis minDemandTtl{10000};
 inline constexpr Millis demandTtlPerRouter{30};
--- a/sequoiausher/coordination/limits/reservationwindowstest.cpp
+++ b/sequoiausher/coordination/limits/reservationwindowstest.cpp
@@ -48,7 +48,7 @@
     CHECK(most == 2);
 }
 
-TEST_CASE("after one of several pending reservations is refused, the others keep a window")
+TEST_CASE("after one of five pending reservations is refused, another may start when one of the rest ends")
 {
     ReservationWindows windows;
     for (int i = 0; i < 5; ++i) {
--- a/sequoiausher/coordination/limits/retrybudget.h
+++ b/sequoiausher/coordination/limits/retrybudget.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Bounds the retries that a router sends to a pool to a share of the first attempts, so that retries do not overload a
-// failing pool.
+// Limits how often a router resends requests to a pool (here called retries): to a share of its first attempts, so that
+// retries do not overload a failing pool.
 //
 //     RetryBudget budget({.percent = 10});
 //     budget.countRequest(now);
--- a/sequoiausher/coordination/limits/rulequeues.h
+++ b/sequoiausher/coordination/limits/rulequeues.h
@@ -8,8 +8,9 @@
 //     queues.leave(now, key, request, actions);        // when the request ends, whatever its result
 //
 // Each queue is an AdmissionQueue with as many slots as the rule allows in flight: urgent requests are dispatched
-// first, background requests are shed first. A queue without waiting requests and requests in flight takes no memory.
-// If the limits of a rule change, it gets a new queue, and the requests of the old queue end there.
+// first, background requests are shed first. A queue with neither waiting requests nor requests in flight is removed by
+// tick(). If the limits of a rule change, a new queue is used, and requests that are already in the old queue stay
+// there until they end.
 
 #include "sequoiausher/coordination/limits/admissionqueue.h"
 
@@ -39,7 +40,10 @@
     offer(Millis now, const RuleQueueKey &key, const QueueEntry &entry, std::vector<QueueAction> &actions);
     /** Removes a request that no longer waits or is done with its target, and dispatches the next one. */
     void leave(Millis now, const RuleQueueKey &key, const RequestId &request, std::vector<QueueAction> &actions);
-    /** Refuses requests that cannot meet their deadlines, and drops empty queues. */
+    /**
+     * Refuses requests that cannot meet their deadlines, and removes queues with neither waiting requests nor requests
+     * in flight.
+     */
     void tick(Millis now, std::vector<QueueAction> &actions);
     std::size_t waiting() const;
     std::size_t count() const;
--- a/sequoiausher/coordination/limits/rulequeuestest.cpp
+++ b/sequoiausher/coordination/limits/rulequeuestest.cpp
@@ -52,7 +52,7 @@
     CHECK(actions[0].decision.retryAfter > Millis{0});
 }
 
-TEST_CASE("an empty queue takes no memory")
+TEST_CASE("an empty queue is removed on the next tick")
 {
     RuleQueues queues;
     std::vector<QueueAction> actions;
--- a/sequoiausher/coordination/limits/targethealth.cpp
+++ b/sequoiausher/coordination/limits/targethealth.cpp
@@ -11,7 +11,7 @@
 struct Failures
 {
     std::uint32_t consecutive = 0;
-    /** 0 until the first pause. */
+    /** The length of the last pause; 0 before the first. */
     Millis pause;
     Millis pausedUntil;
     /** When the probe under way times out; std::nullopt without a probe. */
--- a/sequoiausher/coordination/limits/targethealth.h
+++ b/sequoiausher/coordination/limits/targethealth.h
@@ -46,7 +46,7 @@
     bool isPaused(Millis now, const TargetId &target) const;
     /** Records that the target answered a request, whatever the answer. */
     void recordSuccess(const TargetId &target);
-    /** Records that the target was unreachable, broke off its answer or was silent. Not for refusals by the target. */
+    /** Records that the target was unreachable, truncated its answer or was silent. Not for refusals by the target. */
     void recordFailure(Millis now, const TargetId &target);
     /** Drops the state of a target that was removed or has a new incarnation. */
     void forget(const TargetId &target);
--- a/sequoiausher/coordination/policies/loadbound.h
+++ b/sequoiausher/coordination/policies/loadbound.h
@@ -29,7 +29,9 @@
     return (scaled + divisor - 1) / divisor;
 }
 
-/** The maximum load of a target whether or not another request is admitted: floor(percent / 100 * total / targets). */
+/**
+ * The maximum load of a target for the current total, without another request: floor(percent / 100 * total / targets).
+ */
 constexpr std::uint64_t strictLoadBound(std::uint32_t percent, std::uint64_t total, std::uint64_t targets)
 {
     return targets == 0 ? 0 : std::max(percent, minimumBoundPercent) * total / (targets * 100);
--- a/sequoiausher/coordination/policies/policy.cpp
+++ b/sequoiausher/coordination/policies/policy.cpp
@@ -195,7 +195,7 @@
         return rendezvousOrder(hashes, key, hashes.size());
     }
 
-    /** Whether the target's load is below two fifths of the way from the mean to the bound (docs/design/balance.md). */
+    /** Whether the target's load is below two fifths of the way from the mean to the bound. */
     static bool hasHeadroom(const PoolLoad &load, std::size_t index, std::uint32_t boundPercent)
     {
         const std::uint64_t percent
--- a/sequoiausher/coordination/policies/policy.h
+++ b/sequoiausher/coordination/policies/policy.h
@@ -36,7 +36,7 @@
     std::uint64_t total = 0;
     /** The number of targets that count for the mean. */
     std::uint64_t counted = 0;
-    /** The minimum of the load bound, for a total that may lag behind the requests in flight on the targets. */
+    /** The load bound is never below this, since total may lag behind the requests in flight. */
     std::uint64_t minimumBound = 0;
 };
 
--- a/sequoiausher/coordination/policies/policytest.cpp
+++ b/sequoiausher/coordination/policies/policytest.cpp
@@ -54,7 +54,7 @@
     }
 }
 
-TEST_CASE("a chat's overflow goes to the target that it would have without the first one")
+TEST_CASE("a chat's overflow goes to the target that it would have if its first target did not exist")
 {
     const auto bounded = makePolicy(PolicyKind::BoundedRendezvous, 1);
     const auto plain = makePolicy(PolicyKind::Rendezvous, 1);
@@ -159,8 +159,8 @@
 
 // Guards against overloading empty targets that join a loaded pool: they had more than twice the mean load within half
 // a second. The other targets are at or near the bound, so many routers with outdated counts look for a target below it
-// at the same time. It failed when each chat's overflow went to its first target below the bound, however little room
-// that target had.
+// at the same time. This happened when each chat's overflow went to its first target below the bound, however little
+// room that target had.
 TEST_CASE("overflow goes to targets in proportion to their room, and each chat always to the same target")
 {
     const auto policy = makePolicy(PolicyKind::RoomRendezvous, 1);
--- a/sequoiausher/coordination/rules/condition.cpp
+++ b/sequoiausher/coordination/rules/condition.cpp
@@ -12,6 +12,7 @@
 
 namespace {
 
+/** The largest number that a condition may contain. */
 constexpr std::int64_t maxNumber = 1000000000000;
 constexpr std::int64_t minutesPerHour = 60;
 constexpr std::int64_t minutesPerDay = 24 * minutesPerHour;
@@ -115,7 +116,7 @@
     return *hour * minutesPerHour + *minute;
 }
 
-/** Parses HH:MM-HH:MM without the end, which may be on the next day. Returns nothing if text is invalid. */
+/** Parses HH:MM-HH:MM. The end is exclusive and may be on the next day. Returns no ranges if text is invalid. */
 std::vector<NumberRange> parseTimeRanges(std::string_view text)
 {
     const std::size_t dash = text.find('-');
@@ -164,7 +165,7 @@
         + std::to_string(bounds.last) + ", or several, comma separated";
 }
 
-/** Reports too many or empty alternatives; true if there are none. */
+/** Reports too many alternatives, or an empty one. Returns whether there is no such problem. */
 bool checkAlternatives(SectionReader &section, const IniEntry &entry, const std::vector<std::string> &parts)
 {
     if (parts.size() > maxAlternativesPerKey) {
--- a/sequoiausher/coordination/rules/decision.h
+++ b/sequoiausher/coordination/rules/decision.h
@@ -55,7 +55,7 @@
 
 /** What a target does if it has not cached the shared prefix of a prompt and another target has. */
 enum class CacheMiss {
-    /** The target processes the prefix itself. */
+    /** The target computes the prefix itself. */
     Read,
     /** The target first copies the cached prefix from the other one, if the targets support this. */
     Copy,
@@ -92,6 +92,7 @@
     std::optional<std::uint32_t> inFlight;
     /** Requests in each router that may wait until fewer than inFlight are in flight; no effect without inFlight. */
     std::optional<std::uint32_t> queueLength;
+    /** The maximum time that a request waits. */
     std::optional<Millis> queueTime;
 
     bool operator==(const RuleLimits &) const = default;
@@ -127,7 +128,7 @@
     /** If absent, the router's setting applies. A shorter deadline of the caller takes precedence. */
     std::optional<Millis> deadline;
     RetryMode retry = RetryMode::Safe;
-    /** The maximum of resends, in percent of the requests sent. */
+    /** The maximum number of resends, in percent of the first attempts. */
     std::uint32_t retryBudgetPercent = 10;
     ClaimMode claim = ClaimMode::Optional;
     /** Applied by gateways only. */
--- a/sequoiausher/coordination/rules/ruleset.h
+++ b/sequoiausher/coordination/rules/ruleset.h
@@ -89,8 +89,9 @@
 
 /**
  * Makes a set of lists that have no errors, at most one for each document. The lists are shared, not copied, so a set
- * with one new list takes time for each list, not for each rule. Appends to problems a warning for each rule of the
- * fleet that no request reaches because of the organisations' own rules.
+ * with one new list takes time for each list and each rule of the fleet, not for each rule of the organisations.
+ * Appends to problems a warning for each rule of the fleet that no request reaches because of the organisations' own
+ * rules.
  */
 std::shared_ptr<const RuleSet> makeRuleSet(const std::vector<RuleListPointer> &lists, Problems &problems);
 
