--- a/sequoiausher/coordination/admission/shardowner.cpp
+++ b/sequoiausher/coordination/admission/shardowner.cpp
@@ -159,7 +159,7 @@
     }
     this->load.total -= std::min(this->load.total, this->suspectedLoad(now));
     // Uses the mean of the upper estimates, so that some target has room even if the reports are too low.
-    this->load.lowestBound = loadBound(minimumBoundPercent, this->maxLoadTotal, this->load.counted);
+    this->load.minimumBound = loadBound(minimumBoundPercent, this->maxLoadTotal, this->load.counted);
 }
 
 // When an entry dies, all its streams end together, and the target reports that show this lag by up to a second. Until
@@ -199,7 +199,7 @@
     if (this->poolTargets > 0) {
         limit = std::min(limit, loadBound(percent, this->poolTotal, this->poolTargets));
     }
-    return std::max(limit, this->load.lowestBound);
+    return std::max(limit, this->load.minimumBound);
 }
 
 /** The class that decides how many places are kept from the request. */
--- a/sequoiausher/coordination/flow/flowaction.h
+++ b/sequoiausher/coordination/flow/flowaction.h
@@ -20,7 +20,7 @@
     Yes,
     /** Certainly not run, so it may be resent. */
     No,
-    /** The request may have run; the system does not resend it. */
+    /** The request may have run; it is resent only if it is idempotent. */
     Unknown,
 };
 
@@ -77,7 +77,7 @@
 
 /** Why a request ends without a complete answer from a target. */
 enum class RefusalReason {
-    ShedByLimit,
+    RateLimited,
     NoTarget,
     PoolFull,
     NoQuorum,
@@ -92,7 +92,7 @@
 
 template<>
 inline constexpr auto nameTable<RefusalReason> = std::to_array<NameEntry<RefusalReason>>({
-    {RefusalReason::ShedByLimit, "rate_limited"},
+    {RefusalReason::RateLimited, "rate_limited"},
     {RefusalReason::NoTarget, "no_target"},
     {RefusalReason::PoolFull, "pool_full"},
     {RefusalReason::NoQuorum, "claim_no_quorum"},
@@ -175,7 +175,7 @@
     int status = 0;
     Ran ran = Ran::No;
     RefusalReason reason = RefusalReason::NoTarget;
-    /** Zero if a retry cannot succeed. */
+    /** Zero if the client is given no retry delay. */
     Millis retryAfter;
 };
 
--- a/sequoiausher/coordination/gateway/targetboard.cpp
+++ b/sequoiausher/coordination/gateway/targetboard.cpp
@@ -375,7 +375,7 @@
         target.usable = target.usable || (useSkipped && !excluded && now >= candidates[i]->backoffUntil);
         usable += target.usable ? 1 : 0;
     }
-    load.lowestBound = loadBound(criteria.boundPercent, load.total, load.counted) + boundSlackRequests;
+    load.minimumBound = loadBound(criteria.boundPercent, load.total, load.counted) + boundSlackRequests;
     const std::optional<std::size_t> holder = chooseHolder(criteria.holders, load, criteria.requestHash);
     // A part with several holders of which none accepts the request is hot. If the part's hash decided, all gateways
     // would fill the same additional target.
--- a/sequoiausher/coordination/limits/dispatchqueue.h
+++ b/sequoiausher/coordination/limits/dispatchqueue.h
@@ -2,6 +2,8 @@
 
 // The queue of a router in front of one pool: it decides which requests are dispatched, which wait and which are
 // refused.
+// A request that a queue dispatches starts its reservation. It is sent to a target only once the reservation is granted
+// (Dispatch in flowaction.h).
 //
 //     AdmissionQueue queue(settings);
 //     std::vector<QueueAction> actions;
@@ -48,7 +50,7 @@
     {QueueVerdict::Refuse, "refuse"},
 });
 
-enum class RefuseReason {
+enum class QueueRefusalReason {
     None,
     /** The queue is full, and the other requests take precedence. */
     Full,
@@ -57,17 +59,17 @@
 };
 
 template<>
-inline constexpr auto nameTable<RefuseReason> = std::to_array<NameEntry<RefuseReason>>({
-    {RefuseReason::None, "none"},
-    {RefuseReason::Full, "full"},
-    {RefuseReason::Deadline, "deadline"},
+inline constexpr auto nameTable<QueueRefusalReason> = std::to_array<NameEntry<QueueRefusalReason>>({
+    {QueueRefusalReason::None, "none"},
+    {QueueRefusalReason::Full, "full"},
+    {QueueRefusalReason::Deadline, "deadline"},
 });
 
 /** The decision about a request. */
 struct QueueDecision
 {
     QueueVerdict verdict = QueueVerdict::Queue;
-    RefuseReason reason = RefuseReason::None;
+    QueueRefusalReason reason = QueueRefusalReason::None;
     /** With Refuse: the delay after which the caller may retry. */
     Millis retryAfter;
 };
--- a/sequoiausher/coordination/limits/ratelimit.cpp
+++ b/sequoiausher/coordination/limits/ratelimit.cpp
@@ -63,8 +63,8 @@
     }
 };
 
-/** A demand that this router reported. */
-struct Sample
+/** This router's demand at a call of collectReports(), whether or not it was reported. */
+struct DemandSample
 {
     Millis at;
     double perSecond = 0;
@@ -72,7 +72,7 @@
 
 constexpr Millis sampleInterval{500};
 constexpr std::size_t maxSamples = 128;
-/** The maximum age of a report within a sum, or a third of the TTL if that is longer. */
+/** The maximum age of a report when it is added to a sum; a third of the demand TTL if that is longer. */
 constexpr Millis maxReportAge{2000};
 
 struct Organisation
@@ -81,8 +81,8 @@
     Bucket total;
     std::array<Bucket, requestClassCount> classes;
     Demand own;
-    /** The reported demands, oldest first. */
-    std::deque<Sample> samples;
+    /** The demands at recent calls of collectReports(), oldest first. */
+    std::deque<DemandSample> samples;
     double fleetDemand = 0;
     std::optional<Millis> fleetDemandAt;
 };
@@ -122,15 +122,16 @@
     }
 
     /**
-     * Returns an upper bound of this router's contribution to the sum. The current demand cannot be used instead: if an
-     * organisation surges at all routers at once, each router's demand would be as large as the old sum, and each would
-     * allow nearly the whole limit, seven times the limit in total, until the sums are up to date.
+     * Returns a low estimate of this router's contribution to the sum: the lowest of its current demand and of the
+     * samples that the sum may include. The current demand alone cannot be used: if an organisation surges at all
+     * routers at once, each router's demand would be as large as the old sum, and each would allow nearly the whole
+     * limit, seven times the limit in total, until the sums are up to date.
      */
     double ownDemandInSum(const Organisation &organisation) const
     {
         double own = organisation.own.perSecond;
         const Millis oldest = *organisation.fleetDemandAt - std::max(maxReportAge, this->demandTtl / 3);
-        for (const Sample &sample : organisation.samples) {
+        for (const DemandSample &sample : organisation.samples) {
             if (sample.at >= oldest && sample.at <= *organisation.fleetDemandAt) {
                 own = std::min(own, sample.perSecond);
             }
@@ -236,7 +237,7 @@
         Organisation &organisation = item.second;
         organisation.own.decay(now);
         if (organisation.samples.empty() || now - organisation.samples.back().at >= sampleInterval) {
-            organisation.samples.push_back(Sample{now, organisation.own.perSecond});
+            organisation.samples.push_back(DemandSample{now, organisation.own.perSecond});
         }
         if (organisation.samples.size() > maxSamples) {
             organisation.samples.pop_front();
--- a/sequoiausher/coordination/limits/reservationwindowstest.cpp
+++ b/sequoiausher/coordination/limits/reservationwindowstest.cpp
@@ -35,20 +35,20 @@
     windows.recordFull(Millis{0}, one, interactive);
     std::size_t most = 0;
     for (std::size_t round = 1; round < ReservationWindows::maxLimit; ++round) {
-        std::size_t asked = 0;
-        while (asked <= ReservationWindows::maxLimit && windows.isOpen(Millis{1}, one, interactive)) {
+        std::size_t started = 0;
+        while (started <= ReservationWindows::maxLimit && windows.isOpen(Millis{1}, one, interactive)) {
             windows.startReservation(one, interactive);
-            asked += 1;
+            started += 1;
         }
-        most = std::max(most, asked);
-        CHECK(asked == (round == 1 ? 1 : 2));
+        most = std::max(most, started);
+        CHECK(started == (round == 1 ? 1 : 2));
         windows.endReservation(one, interactive);
     }
     CHECK(windows.isOpen(Millis{1}, one, interactive));
     CHECK(most == 2);
 }
 
-TEST_CASE("after one of several pending reservations is refused, the others keep a window")
+TEST_CASE("after one of five pending reservations is refused, another may start when one of the rest ends")
 {
     ReservationWindows windows;
     for (int i = 0; i < 5; ++i) {
