--- a/lab/bench/controlbench.cpp
+++ b/lab/bench/controlbench.cpp
@@ -51,7 +51,7 @@
     const std::size_t after = static_cast<std::size_t>(step + 1) * load.targets / secondsPerChange;
     for (std::size_t change = before; change < after; ++change) {
         const TargetId target{"plate-" + std::to_string(change)};
-        fleet.membership(change % fleet.size()).targetNews({target, {2, LifeState::Leaving}});
+        fleet.membership(change % fleet.size()).addTargetNews({target, {2, LifeState::Leaving}});
     }
 }
 
--- a/lab/bench/slopes/configurationslopes.cpp
+++ b/lab/bench/slopes/configurationslopes.cpp
@@ -223,7 +223,7 @@
             this->targets.applyPool(Millis{1}, *pool);
         }
         for (const TargetDescription &target : changes.targets) {
-            this->membership.targetNews(TargetNews{target.target, target.life});
+            this->membership.addTargetNews(TargetNews{target.target, target.life});
         }
     }
 
--- a/lab/bench/slopes/relayslopes.cpp
+++ b/lab/bench/slopes/relayslopes.cpp
@@ -192,7 +192,7 @@
         before = heapBytes();
         Membership targets({InstanceId{"r"}, DataCentreId{"brest-1"}, 1}, 1, {});
         for (std::size_t i = 0; i < count; ++i) {
-            targets.targetNews(newsOf(i));
+            targets.addTargetNews(newsOf(i));
         }
         perTarget.push_back({size, heapBytes() - before});
 
--- a/sequoiausher/coordination/membership/demandtable.cpp
+++ b/sequoiausher/coordination/membership/demandtable.cpp
@@ -9,25 +9,25 @@
 
 namespace {
 
-constexpr Millis shortestInterval{1000};
+constexpr Millis minReportInterval{1000};
 constexpr std::int64_t millisPerRouter = 10;
 /** A report counts for this many intervals, and a new collector speaks after as many. */
-constexpr std::int64_t reportsRemembered = 2;
+constexpr std::int64_t reportRetentionIntervals = 2;
 /** Longer than a message takes, so that a total that two routers tell each other does not stay young. */
 constexpr Millis hopAllowance{100};
 constexpr Millis totalLifetime{60000};
 
-struct Reported
+struct ReceivedReport
 {
     double perSecond = 0;
     Millis at;
 };
 
 /** What this router collects for one organisation. */
-struct Collected
+struct CollectedReports
 {
     Millis since;
-    std::map<InstanceId, Reported> reports;
+    std::map<InstanceId, ReceivedReport> reports;
 };
 
 struct Total
@@ -41,24 +41,24 @@
 
 Millis demandInterval(std::size_t routers)
 {
-    return std::max(shortestInterval, Millis{static_cast<std::int64_t>(routers) * millisPerRouter});
+    return std::max(minReportInterval, Millis{static_cast<std::int64_t>(routers) * millisPerRouter});
 }
 
 class DemandTable::Private
 {
 public:
     InstanceId collectorOf(const OrganisationId &organisation) const;
-    void sumUp(Millis now);
+    void updateTotals(Millis now);
 
     InstanceId self;
     std::vector<OrganisationDemand> own;
     std::vector<InstanceId> live;
     std::vector<std::uint64_t> liveHashes;
-    Millis interval = shortestInterval;
+    Millis interval = minReportInterval;
     Millis nextReport;
-    std::map<OrganisationId, Collected> collected;
+    std::map<OrganisationId, CollectedReports> collected;
     std::map<OrganisationId, Total> totals;
-    std::uint64_t sendClock = 0;
+    std::uint64_t sendCounter = 0;
 };
 
 InstanceId DemandTable::Private::collectorOf(const OrganisationId &organisation) const
@@ -67,19 +67,19 @@
     return order.empty() ? InstanceId{} : this->live[order.front()];
 }
 
-void DemandTable::Private::sumUp(Millis now)
+void DemandTable::Private::updateTotals(Millis now)
 {
-    const Millis memory = this->interval * reportsRemembered + hopAllowance;
+    const Millis retention = this->interval * reportRetentionIntervals + hopAllowance;
     for (auto at = this->collected.begin(); at != this->collected.end();) {
-        Collected &each = at->second;
-        std::erase_if(each.reports, [&](const auto &report) { return now - report.second.at > memory; });
+        CollectedReports &each = at->second;
+        std::erase_if(each.reports, [&](const auto &report) { return now - report.second.at > retention; });
         if (each.reports.empty()) {
             at = this->collected.erase(at);
             continue;
         }
         // Goes wrong if a new collector speaks at once: with half of the reports its total is too low, and everybody's
         // share too large.
-        if (now - each.since >= memory && this->collectorOf(at->first) == this->self) {
+        if (now - each.since >= retention && this->collectorOf(at->first) == this->self) {
             Total &total = this->totals[at->first];
             total.perSecond = 0;
             for (const auto &report : each.reports) {
@@ -104,7 +104,8 @@
     this->d->own = std::move(demands);
 }
 
-std::vector<DemandReport> DemandTable::due(Millis now, const std::function<std::vector<InstanceId>()> &liveNow)
+std::vector<DemandReport> DemandTable::takeDueReports(Millis now,
+                                                      const std::function<std::vector<InstanceId>()> &liveNow)
 {
     std::vector<DemandReport> reports;
     if (now < this->d->nextReport) {
@@ -124,29 +125,30 @@
     });
     std::map<InstanceId, std::vector<OrganisationDemand>> byCollector;
     for (const OrganisationDemand &demand : own) {
-        std::vector<OrganisationDemand> &told = byCollector[this->d->collectorOf(demand.organisation)];
-        if (told.size() < demandsPerReport) {
-            told.push_back(demand);
+        std::vector<OrganisationDemand> &assigned = byCollector[this->d->collectorOf(demand.organisation)];
+        if (assigned.size() < demandsPerReport) {
+            assigned.push_back(demand);
         }
     }
     for (auto &entry : byCollector) {
         if (entry.first == this->d->self) {
-            this->heard(now, this->d->self, entry.second);
+            this->addReport(now, this->d->self, entry.second);
         } else if (!entry.first.empty()) {
             reports.push_back(DemandReport{entry.first, std::move(entry.second)});
         }
     }
-    this->d->sumUp(now);
+    this->d->updateTotals(now);
     return reports;
 }
 
-void DemandTable::heard(Millis now, const InstanceId &from, const std::vector<OrganisationDemand> &demands)
+void DemandTable::addReport(Millis now, const InstanceId &from, const std::vector<OrganisationDemand> &demands)
 {
     for (const OrganisationDemand &demand : demands) {
         const bool isKnown = this->d->collected.contains(demand.organisation);
-        if (isKnown || this->d->collected.size() < mostDemands) {
-            Collected &each = this->d->collected.try_emplace(demand.organisation, Collected{now, {}}).first->second;
-            each.reports[from] = Reported{demand.perSecond, now};
+        if (isKnown || this->d->collected.size() < maxDemandTotals) {
+            CollectedReports &each
+                = this->d->collected.try_emplace(demand.organisation, CollectedReports{now, {}}).first->second;
+            each.reports[from] = ReceivedReport{demand.perSecond, now};
         }
     }
 }
@@ -157,7 +159,7 @@
         const Millis at = now - (std::max(demand.age, Millis{0}) + hopAllowance);
         const auto known = this->d->totals.find(demand.organisation);
         if (known == this->d->totals.end()) {
-            if (this->d->totals.size() < mostDemands && now - at < totalLifetime) {
+            if (this->d->totals.size() < maxDemandTotals && now - at < totalLifetime) {
                 this->d->totals[demand.organisation] = Total{demand.perSecond, at, 0};
             }
         } else if (at > known->second.at) {
@@ -190,7 +192,7 @@
     std::vector<OrganisationDemand> news;
     for (std::size_t i = 0; i < taken; ++i) {
         Total &total = order[i]->second;
-        total.lastSend = ++this->d->sendClock;
+        total.lastSend = ++this->d->sendCounter;
         news.push_back(OrganisationDemand{order[i]->first, total.perSecond, now - total.at});
     }
     return news;
--- a/sequoiausher/coordination/membership/demandtable.h
+++ b/sequoiausher/coordination/membership/demandtable.h
@@ -5,9 +5,9 @@
 //
 //     DemandTable demands(self);
 //     demands.setOwn(own);
-//     for (const DemandReport &report : demands.due(now, liveRouters)) { send report.demands to report.collector }
-//     demands.heard(now, from, gossip.demands);
-//     gossip.fleetDemands = demands.takeNews(now, count);    // at the others: demands.merge(now, gossip.fleetDemands)
+//     for (const DemandReport &report : demands.takeDueReports(now, liveRouters)) { send report.demands to
+//     report.collector } demands.addReport(now, from, gossip.demands); gossip.fleetDemands = demands.takeNews(now,
+//     count);    // at the others: demands.merge(now, gossip.fleetDemands)
 //
 // For each organisation one live router collects, by rendezvous: it adds up what the others report and gossips the
 // total. Every router telling every other would not fit the budget: 270 organisations x 1,300 routers. Without a
@@ -31,7 +31,7 @@
 /** One report names at most this many organisations: those with most demand. */
 inline constexpr std::size_t demandsPerReport = 16;
 /** At most this many totals are known; more are not taken in. */
-inline constexpr std::size_t mostDemands = 4096;
+inline constexpr std::size_t maxDemandTotals = 4096;
 
 /** How often a router reports in a fleet of so many: a collector hears at most a hundred reports a second. */
 Millis demandInterval(std::size_t routers);
@@ -50,10 +50,10 @@
      * The reports to send now, each router's own as collector excepted; nothing between two intervals.
      * @param liveNow asked once an interval, as the answer costs time in proportion to the fleet.
      */
-    std::vector<DemandReport> due(Millis now, const std::function<std::vector<InstanceId>()> &liveNow);
+    std::vector<DemandReport> takeDueReports(Millis now, const std::function<std::vector<InstanceId>()> &liveNow);
 
     /** Another router's report to this one as collector. */
-    void heard(Millis now, const InstanceId &from, const std::vector<OrganisationDemand> &demands);
+    void addReport(Millis now, const InstanceId &from, const std::vector<OrganisationDemand> &demands);
 
     /** Totals from gossip; of two the younger stays. */
     void merge(Millis now, const std::vector<OrganisationDemand> &totals);
--- a/sequoiausher/coordination/membership/demandtabletest.cpp
+++ b/sequoiausher/coordination/membership/demandtabletest.cpp
@@ -30,10 +30,10 @@
     {
         for (std::size_t i = 0; i < routers; ++i) {
             this->tables[i]->setOwn(this->limiters[i].reports(now));
-            for (const DemandReport &report : this->tables[i]->due(now, [this] { return this->names; })) {
+            for (const DemandReport &report : this->tables[i]->takeDueReports(now, [this] { return this->names; })) {
                 for (std::size_t to = 0; to < routers; ++to) {
                     if (this->names[to] == report.collector) {
-                        this->tables[to]->heard(now, this->names[i], report.demands);
+                        this->tables[to]->addReport(now, this->names[i], report.demands);
                     }
                 }
             }
@@ -123,12 +123,12 @@
     DemandTable table(InstanceId{"alone"});
     const auto live = [] { return std::vector<InstanceId>{InstanceId{"alone"}}; };
     table.setOwn({OrganisationDemand{large, 5, {}}});
-    table.due(Millis{1000}, live);
+    table.takeDueReports(Millis{1000}, live);
     CHECK(table.totals(Millis{1000}).empty());
-    table.due(Millis{2000}, live);
+    table.takeDueReports(Millis{2000}, live);
     CHECK(table.totals(Millis{2000}).empty());
-    table.due(Millis{3000}, live);
-    table.due(Millis{4000}, live);
+    table.takeDueReports(Millis{3000}, live);
+    table.takeDueReports(Millis{4000}, live);
     REQUIRE(table.totals(Millis{4000}).size() == 1);
     CHECK(table.totals(Millis{4000})[0].perSecond == 5);
 }
@@ -154,7 +154,7 @@
     CHECK(seen == 40);
     table.setOwn(many);
     const std::vector<DemandReport> reports
-        = table.due(Millis{11000}, [] { return std::vector<InstanceId>{InstanceId{"b"}}; });
+        = table.takeDueReports(Millis{11000}, [] { return std::vector<InstanceId>{InstanceId{"b"}}; });
     REQUIRE(reports.size() == 1);
     CHECK(reports[0].demands.size() == demandsPerReport);
     CHECK(reports[0].demands[0].perSecond == 39);
--- a/sequoiausher/coordination/membership/membership.cpp
+++ b/sequoiausher/coordination/membership/membership.cpp
@@ -21,9 +21,9 @@
 /** A probe that this router passed on for another. */
 struct RelayedProbe
 {
-    InstanceId asker;
+    InstanceId requester;
     std::uint64_t sequence = 0;
-    Millis until;
+    Millis expiresAt;
 };
 
 } // namespace
@@ -35,12 +35,12 @@
         : self(std::move(own))
         , settings(given)
         , random(seed)
-        , reachability(self.instance, self.incarnation, given.suspectFor)
+        , reachability(self.instance, self.incarnation, given.suspicionTimeout)
         , prober({given.probeTimeout,
                   given.indirectTimeout,
                   given.indirectProbes,
                   given.ownDataCentrePercent,
-                  given.unreachableEvery})
+                  given.unreachableProbePeriods})
         , sums(given.sumLifetime)
         , demands(self.instance)
     {
@@ -67,24 +67,24 @@
 
     std::uint32_t sendLimit() const;
     bool isGone(const InstanceId &instance) const;
-    std::vector<InstanceId> peersToTell();
-    Gossip gossipWithoutNews() const;
-    Gossip gossipFor(Millis now, const InstanceId &to);
+    std::vector<InstanceId> pickUrgentPeers();
+    Gossip makeBaseGossip() const;
+    Gossip makeGossipFor(Millis now, const InstanceId &to);
     void merge(Millis now, const Gossip &gossip);
-    void noteTarget(const TargetNews &news);
-    void noteInstance(const InstanceNews &news);
-    void noteReachability();
-    void probeNext(Millis now, Outbox &outbox);
+    void applyTargetNews(const TargetNews &news);
+    void applyInstanceNews(const InstanceNews &news);
+    void recordReachabilityEvents();
+    void sendNextProbe(Millis now, Outbox &outbox);
     void sendProbe(Millis now, const InstanceId &peer, Outbox &outbox);
-    void askSuspected(Millis now, const InstanceId &peer, Outbox &outbox);
-    void pushUrgent(Outbox &outbox);
+    void reprobeSuspect(Millis now, const InstanceId &peer, Outbox &outbox);
+    void sendUrgentNews(Outbox &outbox);
     void announce(LifeState state, Outbox &outbox);
 };
 
 std::uint32_t Membership::Private::sendLimit() const
 {
     const auto logarithm = static_cast<std::uint32_t>(std::bit_width(this->platformList.size() + 1));
-    return this->settings.sendsPerLog * logarithm;
+    return this->settings.sendMultiplier * logarithm;
 }
 
 bool Membership::Private::isGone(const InstanceId &instance) const
@@ -93,7 +93,7 @@
     return life && life->state == LifeState::Gone;
 }
 
-std::vector<InstanceId> Membership::Private::peersToTell()
+std::vector<InstanceId> Membership::Private::pickUrgentPeers()
 {
     std::vector<InstanceId> peers;
     for (const ListedInstance &row : this->platformList) {
@@ -110,7 +110,7 @@
     return peers;
 }
 
-Gossip Membership::Private::gossipWithoutNews() const
+Gossip Membership::Private::makeBaseGossip() const
 {
     Gossip gossip;
     gossip.instances.push_back({this->self.instance, this->instances.lives.at(this->self.instance)});
@@ -120,9 +120,9 @@
     return gossip;
 }
 
-Gossip Membership::Private::gossipFor(Millis now, const InstanceId &to)
+Gossip Membership::Private::makeGossipFor(Millis now, const InstanceId &to)
 {
-    Gossip gossip = this->gossipWithoutNews();
+    Gossip gossip = this->makeBaseGossip();
     for (const InstanceId &id : this->instances.queue.take(this->settings.instancesPerMessage, this->sendLimit())) {
         gossip.instances.push_back({id, this->instances.lives.at(id)});
     }
@@ -141,10 +141,10 @@
 void Membership::Private::merge(Millis now, const Gossip &gossip)
 {
     for (const InstanceNews &news : gossip.instances) {
-        this->noteInstance(news);
+        this->applyInstanceNews(news);
     }
     for (const TargetNews &news : gossip.targets) {
-        this->noteTarget(news);
+        this->applyTargetNews(news);
     }
     for (const ShardSum &sum : gossip.sums) {
         this->sums.merge(now, sum);
@@ -153,29 +153,29 @@
         this->reachability.merge(now, news);
     }
     this->demands.merge(now, gossip.fleetDemands);
-    this->noteReachability();
+    this->recordReachabilityEvents();
 }
 
-void Membership::Private::noteTarget(const TargetNews &news)
+void Membership::Private::applyTargetNews(const TargetNews &news)
 {
     if (this->targets.merge(news.target, news.life)) {
         this->events.push_back({MembershipEventKind::TargetChanged, {}, news.target, news.life});
     }
 }
 
-void Membership::Private::noteInstance(const InstanceNews &news)
+void Membership::Private::applyInstanceNews(const InstanceNews &news)
 {
     // Only this router itself says what becomes of it.
     const auto before = this->instances.find(news.instance);
     if (news.instance != this->self.instance && this->instances.merge(news.instance, news.life)) {
         const LifeState stateBefore = before ? before->state : LifeState::Live;
         this->viewVersion += stateBefore != news.life.state ? 1 : 0;
-        this->reachability.noteLife(news.instance, news.life.incarnation);
+        this->reachability.setIncarnation(news.instance, news.life.incarnation);
         this->events.push_back({MembershipEventKind::InstanceChanged, news.instance, {}, news.life});
     }
 }
 
-void Membership::Private::noteReachability()
+void Membership::Private::recordReachabilityEvents()
 {
     for (const InstanceId &instance : this->reachability.takeChanged()) {
         ++this->viewVersion;
@@ -183,12 +183,12 @@
     }
 }
 
-void Membership::Private::probeNext(Millis now, Outbox &outbox)
+void Membership::Private::sendNextProbe(Millis now, Outbox &outbox)
 {
     const std::int64_t jitter = this->settings.period.count * this->settings.jitterPercent / wholePercent;
     const auto span = static_cast<std::uint64_t>(2 * jitter + 1);
     this->nextProbe = now + this->settings.period + Millis{static_cast<std::int64_t>(this->random() % span) - jitter};
-    const auto peer = this->prober.next(this->random, this->reachability.unreachable());
+    const auto peer = this->prober.pickPeer(this->random, this->reachability.unreachable());
     if (peer) {
         this->sendProbe(now, *peer, outbox);
     }
@@ -197,15 +197,15 @@
 void Membership::Private::sendProbe(Millis now, const InstanceId &peer, Outbox &outbox)
 {
     const std::uint64_t sequence = ++this->lastSequence;
-    this->prober.sent(now, sequence, peer);
-    outbox.push_back({peer, Probe{sequence, this->gossipFor(now, peer)}});
+    this->prober.recordProbe(now, sequence, peer);
+    outbox.push_back({peer, Probe{sequence, this->makeGossipFor(now, peer)}});
 }
 
 /**
  * Lost messages make a living router suspected now and then. Gossip alone takes longer to reach it and come back than a
  * suspicion lasts, so it would be unreachable for some; asking it again tells it of the suspicion, which it refutes.
  */
-void Membership::Private::askSuspected(Millis now, const InstanceId &peer, Outbox &outbox)
+void Membership::Private::reprobeSuspect(Millis now, const InstanceId &peer, Outbox &outbox)
 {
     if (this->reachability.isReachable(peer)) {
         this->sendProbe(now, peer, outbox);
@@ -217,12 +217,12 @@
  * the news would take a period per step, and new work would go to a leaving target for seconds. The same holds for a
  * return: routers would disagree for about a second about who owns the shards that go back.
  */
-void Membership::Private::pushUrgent(Outbox &outbox)
+void Membership::Private::sendUrgentNews(Outbox &outbox)
 {
     while (!this->targets.urgent.empty() || !this->instances.urgent.empty()) {
-        Gossip gossip = this->gossipWithoutNews();
-        const auto room = [&] { return gossip.targets.size() < this->settings.urgentPerMessage; };
-        while (!this->targets.urgent.empty() && room()) {
+        Gossip gossip = this->makeBaseGossip();
+        const auto hasRoom = [&] { return gossip.targets.size() < this->settings.urgentPerMessage; };
+        while (!this->targets.urgent.empty() && hasRoom()) {
             const TargetId id = *this->targets.urgent.begin();
             gossip.targets.push_back({id, this->targets.lives.at(id)});
             this->targets.urgent.erase(id);
@@ -232,7 +232,7 @@
             gossip.instances.push_back({id, this->instances.lives.at(id)});
             this->instances.urgent.erase(id);
         }
-        for (const InstanceId &peer : this->peersToTell()) {
+        for (const InstanceId &peer : this->pickUrgentPeers()) {
             outbox.push_back({peer, Probe{0, gossip}});
         }
     }
@@ -242,7 +242,7 @@
 {
     if (this->instances.merge(this->self.instance, {this->self.incarnation, state})) {
         ++this->viewVersion;
-        this->pushUrgent(outbox);
+        this->sendUrgentNews(outbox);
     }
 }
 
@@ -269,32 +269,32 @@
 
 void Membership::tick(Millis now, Outbox &outbox)
 {
-    const bool slept = this->d->lastTick && now - *this->d->lastTick > this->d->settings.pauseLimit;
+    const bool wasPaused = this->d->lastTick && now - *this->d->lastTick > this->d->settings.maxTickGap;
     this->d->lastTick = now;
-    if (slept) {
+    if (wasPaused) {
         // Every probe of before the pause looks unanswered now. Acting on that, the process that slept would declare
         // the whole fleet unreachable; it shows as all peers lost at once right after a pause.
-        this->d->prober.discardOpen();
+        this->d->prober.discardOpenProbes();
         this->d->reachability.discardSuspicions();
         this->d->relayed.clear();
         this->d->events.push_back({MembershipEventKind::WokeLate, {}, {}, {}});
     }
-    for (const InstanceId &silent : this->d->prober.tick(now, this->d->random, outbox)) {
-        this->d->reachability.suspect(now, silent);
-        this->d->askSuspected(now, silent, outbox);
+    for (const InstanceId &suspect : this->d->prober.tick(now, this->d->random, outbox)) {
+        this->d->reachability.suspect(now, suspect);
+        this->d->reprobeSuspect(now, suspect, outbox);
     }
     this->d->reachability.tick(now);
-    this->d->noteReachability();
-    this->d->sums.dropOld(now);
-    std::erase_if(this->d->relayed, [now](const auto &entry) { return now >= entry.second.until; });
-    this->d->pushUrgent(outbox);
-    for (DemandReport &report : this->d->demands.due(now, [this] { return this->live(); })) {
-        Gossip gossip = this->d->gossipWithoutNews();
+    this->d->recordReachabilityEvents();
+    this->d->sums.dropExpired(now);
+    std::erase_if(this->d->relayed, [now](const auto &entry) { return now >= entry.second.expiresAt; });
+    this->d->sendUrgentNews(outbox);
+    for (DemandReport &report : this->d->demands.takeDueReports(now, [this] { return this->live(); })) {
+        Gossip gossip = this->d->makeBaseGossip();
         gossip.demands = std::move(report.demands);
         outbox.push_back({report.collector, Probe{0, std::move(gossip)}});
     }
     if (now >= this->d->nextProbe) {
-        this->d->probeNext(now, outbox);
+        this->d->sendNextProbe(now, outbox);
     }
 }
 
@@ -305,41 +305,42 @@
 
 void Membership::receive(Millis now, const InstanceId &from, const Probe &probe, Outbox &outbox)
 {
-    this->heardFrom(from);
+    this->confirmAlive(from);
     this->d->merge(now, probe.gossip);
-    this->d->demands.heard(now, from, probe.gossip.demands);
-    this->d->pushUrgent(outbox);
+    this->d->demands.addReport(now, from, probe.gossip.demands);
+    this->d->sendUrgentNews(outbox);
     if (probe.sequence != 0) {
-        outbox.push_back({from, ProbeReply{probe.sequence, this->d->self.instance, this->d->gossipFor(now, from)}});
+        outbox.push_back({from, ProbeReply{probe.sequence, this->d->self.instance, this->d->makeGossipFor(now, from)}});
     }
 }
 
 void Membership::receive(Millis now, const InstanceId &from, const ProbeReply &reply, Outbox &outbox)
 {
-    this->heardFrom(from);
+    this->confirmAlive(from);
     this->d->merge(now, reply.gossip);
-    this->d->pushUrgent(outbox);
-    this->d->prober.answered(reply.sequence);
+    this->d->sendUrgentNews(outbox);
+    this->d->prober.recordReply(reply.sequence);
     const auto relayed = this->d->relayed.find(reply.sequence);
     if (relayed != this->d->relayed.end()) {
         const RelayedProbe &asked = relayed->second;
-        outbox.push_back({asked.asker, ProbeReply{asked.sequence, reply.about, this->d->gossipFor(now, asked.asker)}});
+        outbox.push_back(
+            {asked.requester, ProbeReply{asked.sequence, reply.about, this->d->makeGossipFor(now, asked.requester)}});
         this->d->relayed.erase(relayed);
     }
 }
 
 void Membership::receive(Millis now, const InstanceId &from, const IndirectProbe &probe, Outbox &outbox)
 {
-    this->heardFrom(from);
+    this->confirmAlive(from);
     const std::uint64_t sequence = ++this->d->lastSequence;
     this->d->relayed[sequence] = {from, probe.sequence, now + this->d->settings.indirectTimeout};
-    outbox.push_back({probe.suspect, Probe{sequence, this->d->gossipFor(now, probe.suspect)}});
+    outbox.push_back({probe.suspect, Probe{sequence, this->d->makeGossipFor(now, probe.suspect)}});
 }
 
-void Membership::heardFrom(const InstanceId &from)
+void Membership::confirmAlive(const InstanceId &from)
 {
-    this->d->reachability.heardFrom(from);
-    this->d->noteReachability();
+    this->d->reachability.confirmAlive(from);
+    this->d->recordReachabilityEvents();
 }
 
 void Membership::beginJoining()
@@ -365,9 +366,9 @@
     this->d->announce(LifeState::Gone, outbox);
 }
 
-void Membership::targetNews(const TargetNews &news)
+void Membership::addTargetNews(const TargetNews &news)
 {
-    this->d->noteTarget(news);
+    this->d->applyTargetNews(news);
 }
 
 std::optional<LifeNews> Membership::target(const TargetId &target) const
--- a/sequoiausher/coordination/membership/membership.h
+++ b/sequoiausher/coordination/membership/membership.h
@@ -32,13 +32,13 @@
     Millis indirectTimeout{600};
     std::size_t indirectProbes = 3;
     /** From suspicion to unreachable; the time that a living router has to refute. */
-    Millis suspectFor{3000};
+    Millis suspicionTimeout{3000};
     /** A longer gap between two ticks means that this process slept. */
-    Millis pauseLimit{2000};
+    Millis maxTickGap{2000};
     /** Probes that stay in the own data centre, where there is another router in it. */
     int ownDataCentrePercent = 75;
     /** One period in so many probes a router that does not answer, so that its return is noticed. */
-    std::uint32_t unreachableEvery = 4;
+    std::uint32_t unreachableProbePeriods = 4;
     /** Peers to which a router passes news of a leaving or gone target at once. */
     std::size_t urgentFanOut = 4;
     std::size_t urgentPerMessage = 128;
@@ -48,7 +48,7 @@
     std::size_t sumsPerMessage = 128;
     std::size_t demandsPerMessage = 8;
     /** News is sent this often times log2 of the fleet's size. */
-    std::uint32_t sendsPerLog = 3;
+    std::uint32_t sendMultiplier = 3;
     /** A sum older than this is forgotten. */
     Millis sumLifetime{15000};
 };
@@ -119,7 +119,7 @@
     /** The platform's list as it now is. Routers in it count as reachable until they fail to answer. */
     void setListed(const std::vector<ListedInstance> &listed);
 
-    /** Call about ten times a period; news given by targetNews() leaves with the next call. A gap above pauseLimit
+    /** Call about ten times a period; news given by addTargetNews() leaves with the next call. A gap above maxTickGap
      * gives WokeLate and drops all suspicions. */
     void tick(Millis now, Outbox &outbox);
     /** When the next probe goes out. All else that tick() does may be some hundred milliseconds late. */
@@ -130,7 +130,7 @@
     void receive(Millis now, const InstanceId &from, const IndirectProbe &probe, Outbox &outbox);
 
     /** Any message came directly from this router, which proves that it lives. */
-    void heardFrom(const InstanceId &from);
+    void confirmAlive(const InstanceId &from);
 
     /**
      * This router starts and has not learnt the configuration: peers reach it and teach it, but give it no work. It
@@ -147,7 +147,7 @@
     void announceGone(Outbox &outbox);
 
     /** News of a target from its list or its owner's probes; passed on at once where it leaves or is gone. */
-    void targetNews(const TargetNews &news);
+    void addTargetNews(const TargetNews &news);
 
     /** The newest known of a target; std::nullopt where nothing was said. */
     std::optional<LifeNews> target(const TargetId &target) const;
--- a/sequoiausher/coordination/membership/membershiptest.cpp
+++ b/sequoiausher/coordination/membership/membershiptest.cpp
@@ -49,7 +49,7 @@
         settings.lossPercent = row.loss;
         TestFleet fleet(settings);
         fleet.run(second * 5);
-        fleet.membership(3).targetNews({{"plate-03"}, leaving});
+        fleet.membership(3).addTargetNews({{"plate-03"}, leaving});
         fleet.run(row.limit);
         CAPTURE(row.routers);
         CAPTURE(row.loss);
@@ -147,7 +147,7 @@
     }
     fleet.run(second * 60);
     CHECK(fleet.membership(0).reachable().size() == 10);
-    fleet.membership(0).targetNews({{"plate-01"}, leaving});
+    fleet.membership(0).addTargetNews({{"plate-01"}, leaving});
     fleet.run(second);
     CHECK(routersWithoutNews(fleet, {"plate-01"}, leaving) == 10);
     for (std::size_t i = 0; i < 10; ++i) {
@@ -219,7 +219,7 @@
         own.push_back({{"plates"}, shard, shard, 3, {}});
     }
     for (int i = 0; i < 1000; ++i) {
-        fleet.membership(0).targetNews({{"t" + std::to_string(i)}, leaving});
+        fleet.membership(0).addTargetNews({{"t" + std::to_string(i)}, leaving});
     }
     bool bounded = true;
     fleet.onSent = [&](std::size_t, const PeerMessage &message) {
--- a/sequoiausher/coordination/membership/newsqueue.h
+++ b/sequoiausher/coordination/membership/newsqueue.h
@@ -27,7 +27,7 @@
     void add(const Key &key)
     {
         this->remove(key);
-        this->insert(key, Rank{0, --this->clock});
+        this->insert(key, Rank{0, --this->recencyCounter});
     }
 
     void remove(const Key &key)
@@ -75,7 +75,7 @@
 
     std::map<Rank, Key> order;
     std::map<Key, Rank> ranks;
-    std::int64_t clock = 0;
+    std::int64_t recencyCounter = 0;
 
     void insert(const Key &key, const Rank &rank)
     {
--- a/sequoiausher/coordination/membership/prober.cpp
+++ b/sequoiausher/coordination/membership/prober.cpp
@@ -23,7 +23,7 @@
     std::vector<InstanceId> members;
     std::size_t position = 0;
 
-    const InstanceId &next(std::mt19937_64 &random)
+    const InstanceId &pickNext(std::mt19937_64 &random)
     {
         if (this->position >= this->members.size()) {
             for (std::size_t i = this->members.size(); i > 1; --i) {
@@ -36,7 +36,7 @@
 };
 
 /** Keeps the order and position of a ring whose members stay the same. */
-void refill(Ring &ring, std::vector<InstanceId> members)
+void setMembers(Ring &ring, std::vector<InstanceId> members)
 {
     std::vector<InstanceId> before = ring.members;
     std::sort(before.begin(), before.end());
@@ -55,10 +55,10 @@
     ProberSettings settings;
     Ring near;
     Ring far;
-    std::uint32_t rounds = 0;
+    std::uint32_t periods = 0;
     std::map<std::uint64_t, OpenProbe> open;
 
-    std::vector<InstanceId> relaysFor(const InstanceId &peer, std::mt19937_64 &random) const
+    std::vector<InstanceId> pickRelays(const InstanceId &peer, std::mt19937_64 &random) const
     {
         std::vector<InstanceId> others;
         for (const Ring *ring : {&this->near, &this->far}) {
@@ -83,39 +83,40 @@
 
 void Prober::setPeers(std::vector<InstanceId> near, std::vector<InstanceId> far)
 {
-    refill(this->d->near, std::move(near));
-    refill(this->d->far, std::move(far));
+    setMembers(this->d->near, std::move(near));
+    setMembers(this->d->far, std::move(far));
 }
 
-std::optional<InstanceId> Prober::next(std::mt19937_64 &random, const std::vector<InstanceId> &unreachable)
+std::optional<InstanceId> Prober::pickPeer(std::mt19937_64 &random, const std::vector<InstanceId> &unreachable)
 {
-    ++this->d->rounds;
-    if (!unreachable.empty() && this->d->rounds % this->d->settings.unreachableEvery == 0) {
+    ++this->d->periods;
+    if (!unreachable.empty() && this->d->periods % this->d->settings.unreachableProbePeriods == 0) {
         return unreachable[random() % unreachable.size()];
     }
-    const bool inside = random() % wholePercent < static_cast<std::uint64_t>(this->d->settings.ownDataCentrePercent);
-    Ring &wanted = inside ? this->d->near : this->d->far;
-    Ring &other = inside ? this->d->far : this->d->near;
-    Ring &ring = wanted.members.empty() ? other : wanted;
+    const bool preferNear
+        = random() % wholePercent < static_cast<std::uint64_t>(this->d->settings.ownDataCentrePercent);
+    Ring &preferred = preferNear ? this->d->near : this->d->far;
+    Ring &other = preferNear ? this->d->far : this->d->near;
+    Ring &ring = preferred.members.empty() ? other : preferred;
     if (ring.members.empty()) {
         return std::nullopt;
     }
-    return ring.next(random);
+    return ring.pickNext(random);
 }
 
-void Prober::sent(Millis now, std::uint64_t sequence, const InstanceId &peer)
+void Prober::recordProbe(Millis now, std::uint64_t sequence, const InstanceId &peer)
 {
     this->d->open[sequence] = OpenProbe{peer, now + this->d->settings.probeTimeout, false};
 }
 
-bool Prober::answered(std::uint64_t sequence)
+bool Prober::recordReply(std::uint64_t sequence)
 {
     return this->d->open.erase(sequence) > 0;
 }
 
 std::vector<InstanceId> Prober::tick(Millis now, std::mt19937_64 &random, Outbox &outbox)
 {
-    std::vector<InstanceId> silent;
+    std::vector<InstanceId> unanswered;
     for (auto at = this->d->open.begin(); at != this->d->open.end();) {
         auto &[sequence, probe] = *at;
         if (now < probe.deadline) {
@@ -123,21 +124,21 @@
             continue;
         }
         if (probe.indirect) {
-            silent.push_back(probe.peer);
+            unanswered.push_back(probe.peer);
             at = this->d->open.erase(at);
             continue;
         }
         probe.indirect = true;
         probe.deadline = now + this->d->settings.indirectTimeout;
-        for (const InstanceId &relay : this->d->relaysFor(probe.peer, random)) {
+        for (const InstanceId &relay : this->d->pickRelays(probe.peer, random)) {
             outbox.push_back({relay, IndirectProbe{sequence, probe.peer}});
         }
         ++at;
     }
-    return silent;
+    return unanswered;
 }
 
-void Prober::discardOpen()
+void Prober::discardOpenProbes()
 {
     this->d->open.clear();
 }
--- a/sequoiausher/coordination/membership/reachability.cpp
+++ b/sequoiausher/coordination/membership/reachability.cpp
@@ -30,7 +30,7 @@
 {
 public:
     ReachNews own;
-    Millis suspectFor;
+    Millis suspicionTimeout;
     std::map<InstanceId, Peer> peers;
     NewsQueue<InstanceId> queue;
     std::vector<InstanceId> changed;
@@ -41,7 +41,7 @@
     void startSuspicion(Peer &peer, Millis now)
     {
         peer.suspectedAt = now;
-        this->nextExpiry = std::min(this->nextExpiry, now + this->suspectFor);
+        this->nextExpiry = std::min(this->nextExpiry, now + this->suspicionTimeout);
     }
 
     void setUnreachable(const InstanceId &instance, Peer &peer, bool unreachable)
@@ -53,7 +53,7 @@
         }
     }
 
-    void clear(const InstanceId &instance, Peer &peer)
+    void markReachable(const InstanceId &instance, Peer &peer)
     {
         peer.suspectedAt.reset();
         this->setUnreachable(instance, peer, false);
@@ -71,8 +71,8 @@
     }
 };
 
-Reachability::Reachability(const InstanceId &self, Incarnation incarnation, Millis suspectFor)
-    : d(new Private{{self, incarnation, 0, false}, suspectFor, {}, {}, {}, Millis::never(), 0})
+Reachability::Reachability(const InstanceId &self, Incarnation incarnation, Millis suspicionTimeout)
+    : d(new Private{{self, incarnation, 0, false}, suspicionTimeout, {}, {}, {}, Millis::never(), 0})
 {
 }
 Reachability::~Reachability() = default;
@@ -96,12 +96,12 @@
     this->d->peers = std::move(kept);
 }
 
-void Reachability::noteLife(const InstanceId &instance, Incarnation incarnation)
+void Reachability::setIncarnation(const InstanceId &instance, Incarnation incarnation)
 {
     const auto found = this->d->peers.find(instance);
     if (found != this->d->peers.end() && incarnation > found->second.news.incarnation) {
         found->second.news = {instance, incarnation, 0, false};
-        this->d->clear(instance, found->second);
+        this->d->markReachable(instance, found->second);
     }
 }
 
@@ -116,11 +116,11 @@
     this->d->queue.add(instance);
 }
 
-void Reachability::heardFrom(const InstanceId &instance)
+void Reachability::confirmAlive(const InstanceId &instance)
 {
     const auto found = this->d->peers.find(instance);
     if (found != this->d->peers.end()) {
-        this->d->clear(instance, found->second);
+        this->d->markReachable(instance, found->second);
     }
 }
 
@@ -138,7 +138,7 @@
     peer.news = news;
     this->d->queue.add(news.instance);
     if (!news.suspected) {
-        this->d->clear(news.instance, peer);
+        this->d->markReachable(news.instance, peer);
     } else if (!peer.unreachable && !peer.suspectedAt) {
         this->d->startSuspicion(peer, now);
     }
@@ -151,11 +151,11 @@
     }
     this->d->nextExpiry = Millis::never();
     for (auto &[instance, peer] : this->d->peers) {
-        if (peer.suspectedAt && now - *peer.suspectedAt >= this->d->suspectFor) {
+        if (peer.suspectedAt && now - *peer.suspectedAt >= this->d->suspicionTimeout) {
             peer.suspectedAt.reset();
             this->d->setUnreachable(instance, peer, true);
         } else if (peer.suspectedAt) {
-            this->d->nextExpiry = std::min(this->d->nextExpiry, *peer.suspectedAt + this->d->suspectFor);
+            this->d->nextExpiry = std::min(this->d->nextExpiry, *peer.suspectedAt + this->d->suspicionTimeout);
         }
     }
 }
--- a/sequoiausher/coordination/membership/reachability.h
+++ b/sequoiausher/coordination/membership/reachability.h
@@ -5,7 +5,7 @@
 //     Reachability reachability({self, 7}, Millis{3000});
 //     reachability.suspect(now, peer);               // probes went unanswered
 //     reachability.tick(now);                        // after 3 s without refutation: unreachable
-//     reachability.heardFrom(peer);                  // a message came: reachable again
+//     reachability.confirmAlive(peer);                  // a message came: reachable again
 
 #include "sequoiausher/base/millis.h"
 #include "sequoiausher/coordination/messages/membershipmessages.h"
@@ -20,21 +20,21 @@
 class Reachability
 {
 public:
-    /** @param suspectFor how long a suspected router has to refute. */
-    Reachability(const InstanceId &self, Incarnation incarnation, Millis suspectFor);
+    /** @param suspicionTimeout how long a suspected router has to refute. */
+    Reachability(const InstanceId &self, Incarnation incarnation, Millis suspicionTimeout);
     ~Reachability();
 
     /** The routers to keep; new ones count as reachable, others are forgotten. */
     void setListed(const std::vector<InstanceId> &listed);
 
     /** The life that the router itself told of; a later one than known starts without suspicion. */
-    void noteLife(const InstanceId &instance, Incarnation incarnation);
+    void setIncarnation(const InstanceId &instance, Incarnation incarnation);
 
     /** Probes of a listed router went unanswered. */
     void suspect(Millis now, const InstanceId &instance);
 
     /** A message came directly from it: what is said against it is false for this router. */
-    void heardFrom(const InstanceId &instance);
+    void confirmAlive(const InstanceId &instance);
 
     /** News from gossip; newer news is kept and told on. Suspicion of this router itself is refuted. */
     void merge(Millis now, const ReachNews &news);
--- a/sequoiausher/coordination/membership/reachabilitytest.cpp
+++ b/sequoiausher/coordination/membership/reachabilitytest.cpp
@@ -24,7 +24,7 @@
 
     SUBCASE("a direct message")
     {
-        reachability.heardFrom(peer);
+        reachability.confirmAlive(peer);
     }
     SUBCASE("a refutation")
     {
@@ -32,7 +32,7 @@
     }
     SUBCASE("a later life")
     {
-        reachability.noteLife(peer, 1);
+        reachability.setIncarnation(peer, 1);
     }
     CHECK(reachability.isReachable(peer));
     CHECK(reachability.takeChanged().size() == 1);
--- a/sequoiausher/coordination/membership/sumtable.cpp
+++ b/sequoiausher/coordination/membership/sumtable.cpp
@@ -43,10 +43,10 @@
 public:
     Millis lifetime;
     std::map<ShardKey, KnownSum> sums;
-    std::uint64_t sendClock = 0;
+    std::uint64_t sendCounter = 0;
     Millis nextDrop;
 
-    void keep(const ShardSum &sum, Millis countedAt)
+    void storeIfNewer(const ShardSum &sum, Millis countedAt)
     {
         const ShardKey key{sum.pool, sum.shard};
         KnownSum &known = this->sums.try_emplace(key, KnownSum{sum, countedAt, 0, 0}).first->second;
@@ -66,7 +66,7 @@
 void SumTable::setOwn(Millis now, const std::vector<ShardSum> &sums)
 {
     for (const ShardSum &sum : sums) {
-        this->d->keep(sum, now);
+        this->d->storeIfNewer(sum, now);
     }
 }
 
@@ -74,7 +74,7 @@
 {
     const Millis age = std::max(sum.age, Millis{0}) + hopAllowance;
     if (age < this->d->lifetime) {
-        this->d->keep(sum, now - age);
+        this->d->storeIfNewer(sum, now - age);
     }
 }
 
@@ -105,13 +105,13 @@
     std::vector<ShardSum> sums;
     for (std::size_t i = 0; i < taken; ++i) {
         order[i]->sends += 1;
-        order[i]->lastSend = ++this->d->sendClock;
+        order[i]->lastSend = ++this->d->sendCounter;
         sums.push_back(withAge(*order[i], now));
     }
     return sums;
 }
 
-void SumTable::dropOld(Millis now)
+void SumTable::dropExpired(Millis now)
 {
     if (now < this->d->nextDrop) {
         return;
--- a/sequoiausher/coordination/membership/sumtable.h
+++ b/sequoiausher/coordination/membership/sumtable.h
@@ -32,7 +32,7 @@
     std::vector<ShardSum> all(Millis now) const;
     /** At most count sums for one message, with their ages. */
     std::vector<ShardSum> takeNews(Millis now, std::size_t count, std::uint32_t sendLimit);
-    void dropOld(Millis now);
+    void dropExpired(Millis now);
 
 private:
     class Private;
--- a/sequoiausher/transport/router/nodeconfiguration.cpp
+++ b/sequoiausher/transport/router/nodeconfiguration.cpp
@@ -153,7 +153,7 @@
     {
         const std::scoped_lock lock(this->membershipMutex);
         for (const TargetDescription &target : changes.targets) {
-            this->membership.targetNews(TargetNews{target.target, target.life});
+            this->membership.addTargetNews(TargetNews{target.target, target.life});
         }
     }
     for (const PoolId &pool : changes.removed) {
--- a/sequoiausher/transport/router/nodemessages.cpp
+++ b/sequoiausher/transport/router/nodemessages.cpp
@@ -28,7 +28,7 @@
     (void)senderIncarnation;
     {
         const std::scoped_lock lock(this->membershipMutex);
-        this->membership.heardFrom(from);
+        this->membership.confirmAlive(from);
     }
     Outbox outbox;
     this->dispatch(from, message, outbox);
