--- a/sequoiausher/coordination/membership/demandtable.cpp
+++ b/sequoiausher/coordination/membership/demandtable.cpp
@@ -11,9 +11,9 @@
 
 constexpr Millis minReportInterval{1000};
 constexpr std::int64_t millisPerRouter = 10;
-/** A report counts for this many intervals, and a new collector speaks after as many. */
+/** A report counts for this many intervals; a new collector waits as long before it publishes a total. */
 constexpr std::int64_t reportRetentionIntervals = 2;
-/** Longer than a message takes, so that a total that two routers tell each other does not stay young. */
+/** Longer than a message takes, so that a total that two routers send each other does not stay young. */
 constexpr Millis hopAllowance{100};
 constexpr Millis totalLifetime{60000};
 
@@ -23,7 +23,7 @@
     Millis at;
 };
 
-/** What this router collects for one organisation. */
+/** The reports that this router collected for one organisation. */
 struct CollectedReports
 {
     Millis since;
@@ -77,8 +77,8 @@
             at = this->collected.erase(at);
             continue;
         }
-        // Goes wrong if a new collector speaks at once: with half of the reports its total is too low, and everybody's
-        // share too large.
+        // A new collector must wait for all reports: with half of them its total is too low, and the share of every
+        // router too large.
         if (now - each.since >= retention && this->collectorOf(at->first) == this->self) {
             Total &total = this->totals[at->first];
             total.perSecond = 0;
--- a/sequoiausher/coordination/membership/demandtabletest.cpp
+++ b/sequoiausher/coordination/membership/demandtabletest.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t routers = 7;
 const OrganisationId large{"large"};
 
-/** Routers with a limit and a table each; messages arrive at once, gossip goes once a second to the next router. */
+/** Routers with a limiter and a table each. Reports arrive at once; gossip goes to one other router each second. */
 struct Fleet
 {
     Fleet()
@@ -50,7 +50,7 @@
     std::array<RateLimiter, routers> limiters;
 };
 
-/** The share allowed in the second half of a minute, of so many requests a second at each router. */
+/** Sends perSecond requests at each router for a minute and returns the allowed share of the second half. */
 double allowedShare(const std::array<int, routers> &perSecond, bool exchanges)
 {
     Fleet fleet;
@@ -76,8 +76,8 @@
 
 } // namespace
 
-// Symptom: an organisation at 80 % of its limit is refused. Sequence: its callers keep their connections, so two of
-// seven routers see nearly all of it. Cause: each router allowed an even share, whatever the others saw.
+// Guards against refusing an organisation that is at 80 % of its limit. Its callers keep their connections, so two of
+// seven routers see nearly all of its traffic, while each router allows only an even share of the limit.
 TEST_CASE("uneven traffic below the limit is not refused once demands are known")
 {
     const std::array<int, routers> uneven{25, 20, 2, 2, 2, 2, 2};
@@ -87,16 +87,16 @@
 
 TEST_CASE("the limit still holds for the fleet when demand is above it")
 {
-    // 140 a second against a limit of 70.
+    // 140 requests a second against a limit of 70.
     const std::array<int, routers> above{100, 20, 4, 4, 4, 4, 4};
     const double share = allowedShare(above, true);
     CHECK(share > 0.45);
     CHECK(share < 0.56);
 }
 
-// Symptom: a limit is exceeded several times over at the start of a surge. Sequence: ten times the demand arrives at
-// all routers at once, while the sum is still the old one. Cause: each compared its new demand with the old sum of all.
-TEST_CASE("a surge that begins at all routers at once is held to the limit while the sums are old")
+// Guards against exceeding a limit several times over at the start of a surge. Ten times the demand arrives at all
+// routers at once, and each router compares its new demand with the old fleet total.
+TEST_CASE("a surge that begins at all routers at once is held to the limit while the totals are old")
 {
     Fleet fleet;
     int allowed = 0;
@@ -111,14 +111,14 @@
         }
         fleet.exchange(Millis{second * 1000 + 999});
     }
-    // Six seconds of 70, two seconds' worth saved up, and a tenth.
+    // Six seconds at 70, two seconds' worth of saved tokens, and a tenth on top.
     CHECK(allowed <= 70 * 6 + 70 * 2 + 42);
     CHECK(allowed >= 70 * 5);
 }
 
-// Symptom: a limit is exceeded for seconds after a router dies. Sequence: the collector dies, another takes over and
-// hears one router. Cause: it would publish the sum of those few as the fleet's demand.
-TEST_CASE("a new collector says nothing before every router had the time to report")
+// Guards against exceeding a limit for seconds after a router dies. The collector dies, and its successor publishes the
+// sum of the few reports that it has so far as the fleet's demand.
+TEST_CASE("a new collector publishes no total before every router had time to report")
 {
     DemandTable table(InstanceId{"alone"});
     const auto live = [] { return std::vector<InstanceId>{InstanceId{"alone"}}; };
@@ -133,7 +133,7 @@
     CHECK(table.totals(Millis{4000})[0].perSecond == 5);
 }
 
-TEST_CASE("messages are bounded, the younger total stays, and every total gets its turn")
+TEST_CASE("messages are bounded, the younger total is kept, and every total is sent in turn")
 {
     DemandTable table(InstanceId{"a"});
     std::vector<OrganisationDemand> many;
--- a/sequoiausher/coordination/membership/lifetable.h
+++ b/sequoiausher/coordination/membership/lifetable.h
@@ -1,9 +1,10 @@
 #pragma once
 
-// What is known of the lives of routers or targets, merged so that old news never wins, and what is still to be told.
+// Stores the newest known life state of routers or targets, and which of these states still have to be sent to peers.
+// Old news never replaces newer news.
 //
 //     LifeTable<TargetId> targets;
-//     if (targets.merge(target, {4, LifeState::Leaving})) { ... new: passed on, and pushed at once ... }
+//     if (targets.merge(target, {4, LifeState::Leaving})) { ... new: now queued for gossip, and urgent ... }
 
 #include "sequoiausher/coordination/membership/newsqueue.h"
 #include "sequoiausher/state/targets/lifestate.h"
@@ -14,22 +15,24 @@
 
 namespace Sequoiausher {
 
-/** The newest news of each name, and what is still to be told. */
+/** The newest news about each name, and the names whose news still has to be sent. */
 template<typename Name>
 struct LifeTable
 {
     std::map<Name, LifeNews> lives;
     NewsQueue<Name> queue;
-    /** To be pushed at the next tick. */
+    /** Names whose news is sent with the next push, without waiting for a probe. */
     std::set<Name> urgent;
 
+    /** Stores and queues life if it is newer than the known one; returns whether it was. */
     bool merge(const Name &name, const LifeNews &life)
     {
         const auto known = this->lives.find(name);
         if (known != this->lives.end() && !isNewer(life, known->second)) {
             return false;
         }
-        // A return is as urgent as a leaving: until all know it, they disagree about what is its work again.
+        // A return is as urgent as a departure: until every router has the news, routers disagree about which work
+        // belongs to the returned instance or target.
         const bool isReturn = known != this->lives.end() && known->second.state != LifeState::Live;
         this->lives[name] = life;
         this->queue.add(name);
--- a/sequoiausher/coordination/membership/membership.cpp
+++ b/sequoiausher/coordination/membership/membership.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::int64_t wholePercent = 100;
 
-/** A probe that this router passed on for another. */
+/** A probe that this router sent on behalf of another one. */
 struct RelayedProbe
 {
     InstanceId requester;
@@ -165,7 +165,7 @@
 
 void Membership::Private::applyInstanceNews(const InstanceNews &news)
 {
-    // Only this router itself says what becomes of it.
+    // Each router is the only source of its own life state, so news about this router is ignored.
     const auto before = this->instances.find(news.instance);
     if (news.instance != this->self.instance && this->instances.merge(news.instance, news.life)) {
         const LifeState stateBefore = before ? before->state : LifeState::Live;
@@ -202,8 +202,9 @@
 }
 
 /**
- * Lost messages make a living router suspected now and then. Gossip alone takes longer to reach it and come back than a
- * suspicion lasts, so it would be unreachable for some; asking it again tells it of the suspicion, which it refutes.
+ * Probes a suspected router again, which sends it the suspicion so that it can refute it. Lost messages raise a
+ * suspicion of a running router now and then. A suspicion times out sooner than gossip alone reaches the suspected
+ * router and returns, so without this probe some routers would treat it as unreachable.
  */
 void Membership::Private::reprobeSuspect(Millis now, const InstanceId &peer, Outbox &outbox)
 {
@@ -213,9 +214,9 @@
 }
 
 /**
- * Who has just heard that a target leaves tells a few others at once, and these do the same. With plain gossip alone
- * the news would take a period per step, and new work would go to a leaving target for seconds. The same holds for a
- * return: routers would disagree for about a second about who owns the shards that go back.
+ * Sends urgent news to a few peers at once; each router that learns the news does the same. With plain gossip alone the
+ * news would take one period per hop, and new work would go to a leaving target for seconds. After the return of a
+ * router, routers would disagree for about a second about the owner of the shards that move back.
  */
 void Membership::Private::sendUrgentNews(Outbox &outbox)
 {
@@ -272,8 +273,8 @@
     const bool wasPaused = this->d->lastTick && now - *this->d->lastTick > this->d->settings.maxTickGap;
     this->d->lastTick = now;
     if (wasPaused) {
-        // Every probe of before the pause looks unanswered now. Acting on that, the process that slept would declare
-        // the whole fleet unreachable; it shows as all peers lost at once right after a pause.
+        // Every probe from before the pause looks unanswered now. If this process acted on that, it would declare the
+        // whole fleet unreachable right after a pause.
         this->d->prober.discardOpenProbes();
         this->d->reachability.discardSuspicions();
         this->d->relayed.clear();
--- a/sequoiausher/coordination/membership/membership.h
+++ b/sequoiausher/coordination/membership/membership.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Which routers there are, which of them answer, and what is said of the lives of routers and targets. Each router
-// probes one other per period; news rides on probes and answers, at most so much per message, so the bytes that a
-// router spends do not grow with the fleet.
+// Tracks which routers are listed, which of them answer, and the life states of routers and targets. Each router probes
+// one other router per period. Probes and their answers carry a bounded amount of news, so the bytes that a router
+// sends do not grow with the fleet.
 //
 //     Membership membership({self, dataCentre, incarnation}, seed, {});
 //     membership.setListed(instancesOfThePlatformsList);
@@ -10,8 +10,8 @@
 //     membership.receive(now, from, probe, outbox);
 //     for (const MembershipEvent &event : membership.takeEvents()) { ... }
 //
-// Which witnesses a claim has follows from listed() alone. reachable() is a guess that saves time: it may differ from
-// router to router and decides no safety.
+// The witnesses of a claim follow from listed() alone. reachable() is an estimate that saves time: it may differ
+// between routers, and no safety property depends on it.
 
 #include "sequoiausher/base/millis.h"
 #include "sequoiausher/base/nametable.h"
@@ -26,20 +26,20 @@
 struct MembershipSettings
 {
     Millis period{1000};
-    /** Each period is longer or shorter by up to this share, so that routers started together do not probe in step. */
+    /** Each period varies by up to this share, so that routers started together do not probe at the same times. */
     int jitterPercent = 20;
     Millis probeTimeout{300};
     Millis indirectTimeout{600};
     std::size_t indirectProbes = 3;
-    /** From suspicion to unreachable; the time that a living router has to refute. */
+    /** Time from suspicion to unreachable, in which a running router can refute the suspicion. */
     Millis suspicionTimeout{3000};
-    /** A longer gap between two ticks means that this process slept. */
+    /** A longer gap between two ticks means that this process was paused. */
     Millis maxTickGap{2000};
-    /** Probes that stay in the own data centre, where there is another router in it. */
+    /** Share of probes that stay in the own data centre, if that has another router. */
     int ownDataCentrePercent = 75;
-    /** One period in so many probes a router that does not answer, so that its return is noticed. */
+    /** One period out of this many probes an unreachable router, so that its return is noticed. */
     std::uint32_t unreachableProbePeriods = 4;
-    /** Peers to which a router passes news of a leaving or gone target at once. */
+    /** Peers to which a router sends urgent news at once: departures and returns of targets and routers. */
     std::size_t urgentFanOut = 4;
     std::size_t urgentPerMessage = 128;
     std::size_t instancesPerMessage = 8;
@@ -47,22 +47,22 @@
     std::size_t reachPerMessage = 8;
     std::size_t sumsPerMessage = 128;
     std::size_t demandsPerMessage = 8;
-    /** News is sent this often times log2 of the fleet's size. */
+    /** Each news item is sent this many times log2 of the fleet's size. */
     std::uint32_t sendMultiplier = 3;
-    /** A sum older than this is forgotten. */
+    /** Older sums are dropped. */
     Millis sumLifetime{15000};
 };
 
-/** This router itself. */
+/** The identity of this router. */
 struct OwnInstance
 {
     InstanceId instance;
     DataCentreId dataCentre;
-    /** Greater than that of any earlier start. */
+    /** Greater than the incarnation of any earlier start. */
     Incarnation incarnation = 0;
 };
 
-/** A row of the platform's list. */
+/** An entry of the platform's list of instances. */
 struct ListedInstance
 {
     InstanceId instance;
@@ -72,13 +72,13 @@
 };
 
 enum class MembershipEventKind {
-    /** This process slept: what it believed is old, callers learn anew before they act. */
+    /** This process was paused. Its state may be out of date; callers must refresh theirs before they act. */
     WokeLate,
-    /** A router's life moved on. */
+    /** The life state of a router changed. */
     InstanceChanged,
-    /** A router stopped or started answering, as far as this one knows. */
+    /** A router became reachable or unreachable for this one. */
     ReachabilityChanged,
-    /** A target's life moved on. */
+    /** The life state of a target changed. */
     TargetChanged,
 };
 
@@ -90,7 +90,7 @@
     {MembershipEventKind::TargetChanged, "target-changed"},
 });
 
-/** Something that callers react to; instance or target is set as the kind says. */
+/** A change that callers react to. kind determines whether instance or target is set. */
 struct MembershipEvent
 {
     MembershipEventKind kind = MembershipEventKind::WokeLate;
@@ -101,7 +101,7 @@
     bool operator==(const MembershipEvent &) const = default;
 };
 
-/** What rides along about the documents; see Spread::summary(). */
+/** The state of the documents that gossip carries; see Spread::summary(). */
 struct DocumentState
 {
     std::uint64_t digest = 0;
@@ -109,75 +109,77 @@
     Millis serviceAge{-1};
 };
 
-/** One router's part in the membership. Times are its own monotonic clock. Not thread-safe. */
+/** One router's part in the membership. Times are read from its own monotonic clock. Not thread-safe. */
 class Membership
 {
 public:
     Membership(OwnInstance self, std::uint64_t seed, const MembershipSettings &settings);
     ~Membership();
 
-    /** The platform's list as it now is. Routers in it count as reachable until they fail to answer. */
+    /** Sets the platform's current list. Routers in it count as reachable until they fail to answer. */
     void setListed(const std::vector<ListedInstance> &listed);
 
-    /** Call about ten times a period; news given by addTargetNews() leaves with the next call. A gap above maxTickGap
-     * gives WokeLate and drops all suspicions. */
+    /**
+     * Sends what is due. Call about ten times per period; urgent news from addTargetNews() is sent with the next call.
+     * A gap above maxTickGap reports WokeLate and drops all suspicions.
+     */
     void tick(Millis now, Outbox &outbox);
-    /** When the next probe goes out. All else that tick() does may be some hundred milliseconds late. */
+    /** Returns when the next probe is due. Everything else that tick() does may be some hundred milliseconds late. */
     Millis nextProbe() const;
 
     void receive(Millis now, const InstanceId &from, const Probe &probe, Outbox &outbox);
     void receive(Millis now, const InstanceId &from, const ProbeReply &reply, Outbox &outbox);
     void receive(Millis now, const InstanceId &from, const IndirectProbe &probe, Outbox &outbox);
 
-    /** Any message came directly from this router, which proves that it lives. */
+    /** Call for any message that came directly from a router, which proves that the router is running. */
     void confirmAlive(const InstanceId &from);
 
     /**
-     * This router starts and has not learnt the configuration: peers reach it and teach it, but give it no work. It
-     * says so as the leaving of the life before, which routers that know no such state understand too. Call before
-     * anything is sent; the incarnation must be greater than 0.
+     * Marks this router as started but without configuration: peers reach it and send it documents, but give it no
+     * work. The router announces this as Leaving of the previous incarnation, which routers without a joining state
+     * understand too. Call before anything is sent; the incarnation must be greater than 0.
      */
     void beginJoining();
-    /** The configuration is learnt: the peers hear with the next tick that this router is live. */
+    /** Call when the router has its configuration; the next tick announces to peers that the router is live. */
     void announceLive();
 
-    /** A planned stop begins: the peers hear at once that this router leaves. */
+    /** Announces to peers at once that a planned stop of this router begins. */
     void announceLeaving(Outbox &outbox);
-    /** The planned stop ends: nothing will be answered any more. */
+    /** Announces the end of the planned stop; this router answers nothing afterwards. */
     void announceGone(Outbox &outbox);
 
-    /** News of a target from its list or its owner's probes; passed on at once where it leaves or is gone. */
+    /** Adds news about a target from the target list or from its owner's probes. Departures and returns are urgent. */
     void addTargetNews(const TargetNews &news);
 
-    /** The newest known of a target; std::nullopt where nothing was said. */
+    /** Returns the newest known state of a target; std::nullopt where there was no news of it. */
     std::optional<LifeNews> target(const TargetId &target) const;
-    /** The newest known of a router; std::nullopt where nothing was said. */
+    /** Returns the newest known state of a router; std::nullopt where there was no news of it. */
     std::optional<LifeNews> instance(const InstanceId &instance) const;
 
-    /** What this router counts in the shards that it owns; age is ignored. */
+    /** Sets the sums of the shards that this router owns; age is ignored. */
     void setSums(Millis now, const std::vector<ShardSum> &sums);
-    /** The youngest known sum of each shard, with its age. */
+    /** Returns the youngest known sum of each shard, with its age. */
     std::vector<ShardSum> sums(Millis now) const;
 
-    /** What this router is asked for by organisations that may be near their limits; age is ignored. */
+    /** Sets the demand that this router sees of organisations that may be near their limits; age is ignored. */
     void setDemands(std::vector<OrganisationDemand> demands);
-    /** The fleet's demand for each such organisation, with its age. */
+    /** Returns the fleet's demand for each such organisation, with its age. */
     std::vector<OrganisationDemand> fleetDemands(Millis now) const;
 
     void setDocuments(const DocumentState &state);
 
-    /** The platform's list, this router included where it is in it. Witness sets come from it alone. */
+    /** Returns the platform's list; it holds this router only if the platform lists it. Witness sets use this alone. */
     std::vector<InstanceId> listed() const;
-    /** This router and those listed that seem to answer, leaving ones included, gone ones not. */
+    /** Returns this router and the listed routers that seem to answer, including leaving but not gone ones. */
     std::vector<InstanceId> reachable() const;
-    /** reachable() without those that leave: who may be given new work. */
+    /** Returns reachable() without leaving routers: the routers that may be given new work. */
     std::vector<InstanceId> live() const;
     bool isReachable(const InstanceId &instance) const;
 
-    /** Changes whenever listed(), reachable() or live() may have; these cost time in proportion to the fleet. */
+    /** Changes whenever listed(), reachable() or live() may have changed; the cost of these grows with the fleet. */
     std::uint64_t viewVersion() const;
 
-    /** The events since the last call, in order. */
+    /** Returns the events since the last call, in order. */
     std::vector<MembershipEvent> takeEvents();
 
 private:
--- a/sequoiausher/coordination/membership/membershiptest.cpp
+++ b/sequoiausher/coordination/membership/membershiptest.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-TEST_CASE("news of a leaving target is everywhere within bounded time")
+TEST_CASE("news of a leaving target reaches every router within bounded time")
 {
     struct Row
     {
@@ -57,9 +57,10 @@
     }
 }
 
-TEST_CASE("lives never go backwards, whatever the order of news")
+TEST_CASE("life states never go backwards, whatever the order of news")
 {
-    // Symptom: a target that left is given work again. Old news of it being live comes late, over another router.
+    // Guards against giving work to a target that left, after old news that the target is live arrives late through
+    // another router.
     const bool holds = rc::check([] {
         const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
             rc::gen::pair(rc::gen::inRange(0, 4), rc::gen::inRange(0, 3)));
@@ -86,7 +87,7 @@
     CHECK(holds);
 }
 
-TEST_CASE("a dead router becomes unreachable everywhere and stays listed; a return is noticed")
+TEST_CASE("a dead router becomes unreachable for every router and stays listed; its return is noticed")
 {
     TestFleetSettings settings;
     settings.routers = 30;
@@ -103,7 +104,7 @@
     CHECK(routersThatSeeUnreachable(fleet, dead) == 0);
 }
 
-TEST_CASE("loss alone makes nobody unreachable for long")
+TEST_CASE("message loss alone makes no router unreachable for long")
 {
     TestFleetSettings settings;
     settings.routers = 30;
@@ -117,10 +118,10 @@
     CHECK(changes <= 30);
 }
 
-TEST_CASE("a router that slept declares nobody dead and says that it woke late")
+TEST_CASE("a router that was paused declares no router unreachable and reports the pause")
 {
-    // Symptom: a router takes the whole fleet for dead and stops handing work to it. It was frozen for ten seconds;
-    // on waking every probe it had sent looked unanswered. Cause: time that passed without it running counted.
+    // Guards against a router that declares the whole fleet dead and sends it no more work. After a pause of ten
+    // seconds every probe that the router had sent looked unanswered, because the time of the pause counted.
     TestFleet fleet({});
     fleet.run(second * 5);
     std::size_t woke = 0;
@@ -136,7 +137,7 @@
     CHECK(routersThatSeeUnreachable(fleet, {"router-2"}) == 0);
 }
 
-TEST_CASE("the two sides of a partition lose each other and find each other again")
+TEST_CASE("the two sides of a partition become unreachable for each other and reachable again when it heals")
 {
     TestFleetSettings settings;
     settings.routers = 20;
@@ -160,7 +161,7 @@
     CHECK(routersWithoutNews(fleet, {"plate-01"}, leaving) == 0);
 }
 
-TEST_CASE("a planned stop is known at once; leaving routers answer but get no new work")
+TEST_CASE("a planned stop reaches peers at once; leaving routers answer but get no new work")
 {
     TestFleet fleet({});
     fleet.run(second * 3);
@@ -182,11 +183,11 @@
     CHECK(fleet.membership(0).live().size() == 6);
 }
 
-TEST_CASE("a router that starts gets no work until it has learnt, and then all know it at once")
+TEST_CASE("a starting router gets no work until it has its configuration, and then all routers see it live at once")
 {
-    // Symptom: refusals for about a second after each return. Sequence: a router that was gone starts anew; it passes
-    // for live from its first message, before it has a configuration; some peers hear of it at once, others with some
-    // later probe. Cause: every start counted as live, and only news of those that leave was pushed.
+    // Guards against refusals for about a second after a router returns. If every start counts as live, a restarted
+    // router gets work from its first message on, before it has a configuration. If only departures are pushed, some
+    // peers learn of the return at once and others with a later probe.
     TestFleetSettings settings;
     settings.routers = 30;
     TestFleet fleet(settings);
@@ -208,7 +209,7 @@
     }
 }
 
-TEST_CASE("messages stay bounded however much there is to tell, and sums come through")
+TEST_CASE("messages stay bounded however much news there is, and sums still arrive")
 {
     const MembershipSettings limits;
     TestFleetSettings settings;
@@ -238,7 +239,7 @@
     CHECK(fleet.membership(9).sums(fleet.now()).size() > 150);
 }
 
-TEST_CASE("a sum that echoes between two routers never replaces the owner's next one")
+TEST_CASE("a sum that two routers send back and forth never replaces the owner's next sum")
 {
     Membership first({{"a"}, {"dc"}, 1}, 1, {});
     Membership other({{"b"}, {"dc"}, 1}, 2, {});
@@ -250,7 +251,7 @@
     old.sums.push_back({{"plates"}, 0, 5, 3, Millis{0}});
     Gossip next;
     next.sums.push_back({{"plates"}, 0, 6, 3, Millis{0}});
-    // The two tell each other the old sum fifty times, 20 ms each way, before the next one comes.
+    // The routers send each other the old sum fifty times, 20 ms each way, before the next sum arrives.
     first.receive(Millis{0}, {"owner"}, Probe{0, old}, outbox);
     for (int echo = 0; echo < 50; ++echo) {
         Gossip there;
--- a/sequoiausher/coordination/membership/newsqueue.h
+++ b/sequoiausher/coordination/membership/newsqueue.h
@@ -1,11 +1,12 @@
 #pragma once
 
-// Chooses which news rides on the next message: bounded in number, least often sent first, the most recent first among
-// equals, each at most a number of times that grows with the logarithm of the fleet's size.
+// Selects the news that the next gossip message carries: a bounded number of items, least often sent first, and the
+// most recent first among those sent equally often. Each item is sent at most sendLimit times, a number that grows with
+// the logarithm of the fleet's size.
 //
 //     NewsQueue<TargetId> queue;
-//     queue.add(target);                              // new, or changed: starts over
-//     for (const TargetId &id : queue.take(16, limit)) { ... }
+//     queue.add(target);                              // new or changed: its count of sends starts at 0
+//     for (const TargetId &id : queue.take(16, sendLimit)) { ... }
 
 #include <compare>
 #include <cstddef>
@@ -16,14 +17,14 @@
 namespace Sequoiausher {
 
 /**
- * The names about which there is news to tell. The number of sends at which news is dropped follows Das, Gupta and
- * Motivala, "SWIM", 2002: a multiple of log n reaches all with high probability.
+ * The keys whose news still has to be sent. The number of sends after which news is dropped follows Das, Gupta and
+ * Motivala, "SWIM", 2002: with a multiple of log n sends, news reaches all n routers with high probability.
  */
 template<typename Key>
 class NewsQueue
 {
 public:
-    /** There is news about key; what was sent about it before no longer counts. */
+    /** Queues news about key; earlier sends of the key no longer count. */
     void add(const Key &key)
     {
         this->remove(key);
@@ -39,7 +40,7 @@
         }
     }
 
-    /** At most count keys for one message; each is counted as sent, and dropped once sent sendLimit times. */
+    /** Returns at most count keys for one message. Each counts as sent, and is dropped after sendLimit sends. */
     std::vector<Key> take(std::size_t count, std::uint32_t sendLimit)
     {
         std::vector<Key> keys;
@@ -63,11 +64,11 @@
     }
 
 private:
-    /** Where a key stands; the lowest is sent next. */
+    /** Position of a key in the queue; the lowest rank is sent next. */
     struct Rank
     {
         std::uint32_t sends = 0;
-        /** Falls with each addition, and is unique. */
+        /** Decreases with each addition, and is unique. */
         std::int64_t recency = 0;
 
         auto operator<=>(const Rank &) const = default;
--- a/sequoiausher/coordination/membership/prober.cpp
+++ b/sequoiausher/coordination/membership/prober.cpp
@@ -16,7 +16,7 @@
     bool indirect = false;
 };
 
-/** Members in random order; a new order after each round. */
+/** Visits its members in random order, with a new order for each round. */
 class Ring
 {
 public:
@@ -35,7 +35,7 @@
     }
 };
 
-/** Keeps the order and position of a ring whose members stay the same. */
+/** Replaces the members; a ring whose members stay the same keeps its order and position. */
 void setMembers(Ring &ring, std::vector<InstanceId> members)
 {
     std::vector<InstanceId> before = ring.members;
--- a/sequoiausher/coordination/membership/reachability.cpp
+++ b/sequoiausher/coordination/membership/reachability.cpp
@@ -34,7 +34,7 @@
     std::map<InstanceId, Peer> peers;
     NewsQueue<InstanceId> queue;
     std::vector<InstanceId> changed;
-    /** No suspicion expires before. */
+    /** No suspicion expires before this time. */
     Millis nextExpiry = Millis::never();
     std::ptrdiff_t unreachableCount = 0;
 
--- a/sequoiausher/coordination/membership/reachability.h
+++ b/sequoiausher/coordination/membership/reachability.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Which routers seem to answer: SWIM's suspicion with refutation. A guess that saves time and decides no safety.
+// Estimates which routers answer, by SWIM's suspicion with refutation. The estimate only saves time; no safety property
+// depends on it.
 //
 //     Reachability reachability({self, 7}, Millis{3000});
 //     reachability.suspect(now, peer);               // probes went unanswered
@@ -20,42 +21,48 @@
 class Reachability
 {
 public:
-    /** @param suspicionTimeout how long a suspected router has to refute. */
+    /** @param suspicionTimeout how long a suspected router has to refute the suspicion. */
     Reachability(const InstanceId &self, Incarnation incarnation, Millis suspicionTimeout);
     ~Reachability();
 
-    /** The routers to keep; new ones count as reachable, others are forgotten. */
+    /** Sets the known routers. New ones count as reachable; routers that are not in the list are dropped. */
     void setListed(const std::vector<InstanceId> &listed);
 
-    /** The life that the router itself told of; a later one than known starts without suspicion. */
+    /** Sets the incarnation that the router announced; one later than known clears every suspicion of the router. */
     void setIncarnation(const InstanceId &instance, Incarnation incarnation);
 
-    /** Probes of a listed router went unanswered. */
+    /** Starts a suspicion of a listed router, whose probes went unanswered. */
     void suspect(Millis now, const InstanceId &instance);
 
-    /** A message came directly from it: what is said against it is false for this router. */
+    /**
+     * Makes a router reachable, because a message came directly from it. This holds on this router alone: the suspicion
+     * itself is refuted by the suspected router.
+     */
     void confirmAlive(const InstanceId &instance);
 
-    /** News from gossip; newer news is kept and told on. Suspicion of this router itself is refuted. */
+    /** Merges news from gossip. Newer news is stored and sent on; a suspicion of this router itself is refuted. */
     void merge(Millis now, const ReachNews &news);
 
-    /** Suspicions that were not refuted in time make their routers unreachable. */
+    /** Makes routers unreachable whose suspicions were not refuted in time. */
     void tick(Millis now);
 
-    /** This process slept: unanswered probes and expired suspicions may be its own fault, so none is acted on. */
+    /**
+     * Stops the timers of all suspicions; for use after a pause of this process, which may itself have caused the
+     * unanswered probes and expired suspicions.
+     */
     void discardSuspicions();
 
     bool isReachable(const InstanceId &instance) const;
-    /** The listed routers that are not reachable. */
+    /** Returns the listed routers that are not reachable. */
     std::vector<InstanceId> unreachable() const;
 
-    /** What is said of instance, where that is a suspicion: it should hear of it, to refute. */
+    /** Returns the suspicion of instance, if there is one. Send it to instance, which can then refute it. */
     std::optional<ReachNews> suspicionOf(const InstanceId &instance) const;
 
-    /** At most count pieces of news for one message. */
+    /** Returns at most count news items for one message; each item is sent at most sendLimit times. */
     std::vector<ReachNews> takeNews(std::size_t count, std::uint32_t sendLimit);
 
-    /** Routers of which isReachable() changed since the last call. */
+    /** Returns the routers whose isReachable() changed since the last call. */
     std::vector<InstanceId> takeChanged();
 
 private:
--- a/sequoiausher/coordination/membership/reachabilitytest.cpp
+++ b/sequoiausher/coordination/membership/reachabilitytest.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-TEST_CASE("suspicion becomes unreachable only after its time, and each kind of evidence clears it")
+TEST_CASE("a suspected router becomes unreachable only after the timeout, and each kind of evidence clears this")
 {
     Reachability reachability(self, 5, Millis{3000});
     reachability.setListed({self, peer});
@@ -40,7 +40,7 @@
     CHECK(reachability.isReachable(peer));
 }
 
-TEST_CASE("old suspicions lose and suspicion of oneself is refuted")
+TEST_CASE("old suspicions are ignored, and a router refutes suspicions of itself")
 {
     Reachability reachability(self, 5, Millis{3000});
     reachability.setListed({self, peer});
--- a/sequoiausher/coordination/membership/sumtable.cpp
+++ b/sequoiausher/coordination/membership/sumtable.cpp
@@ -10,7 +10,6 @@
 constexpr Millis hopAllowance{100};
 constexpr Millis dropInterval{1000};
 
-/** A shard of a pool. */
 struct ShardKey
 {
     PoolId pool;
@@ -23,9 +22,9 @@
 {
     ShardSum sum;
     Millis countedAt;
-    /** Since this sum replaced its predecessor. */
+    /** How often this sum was sent; starts at 0 with each newer sum. */
     std::uint32_t sends = 0;
-    /** Counts the sends of the table; 0 for a shard that was never sent. */
+    /** Value of sendCounter when the shard was last sent; 0 if it never was. */
     std::uint64_t lastSend = 0;
 };
 
--- a/sequoiausher/coordination/membership/sumtable.h
+++ b/sequoiausher/coordination/membership/sumtable.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The youngest known sum of each shard, as it travels on gossip.
+// Stores the youngest known sum of each shard and selects the sums that the next gossip message carries.
 //
 //     SumTable sums(Millis{15000});
 //     sums.setOwn(now, {{pool, 0, 12, 24}});
@@ -15,23 +15,29 @@
 namespace Sequoiausher {
 
 /**
- * Sums carry ages rather than times, so no two clocks are compared. Each hop adds an allowance that is longer than a
- * message takes: without it a sum that two routers tell each other would grow younger with each echo and might replace
- * the owner's next one, which would show as pool totals that stand still. Every owner counts anew all the time, so the
- * shard not sent for longest goes first: with the newest first, a few shards would take every message. Not thread-safe.
+ * Sums carry ages rather than times, so clocks of different routers are never compared. Each hop adds an allowance that
+ * is longer than a message takes. Without the allowance, a sum that two routers send to each other would seem younger
+ * with each echo and might replace the owner's next sum; pool totals would then stop changing.
+ *
+ * The least recently sent shard goes first. Every owner updates its sums all the time, so with the newest sum first a
+ * few shards would fill every message. Not thread-safe.
  */
 class SumTable
 {
 public:
-    /** @param lifetime a sum older than this is forgotten. */
+    /** @param lifetime sums that are older are dropped. */
     explicit SumTable(Millis lifetime);
     ~SumTable();
 
+    /** Stores sums that this router counted now; their age is ignored. */
     void setOwn(Millis now, const std::vector<ShardSum> &sums);
+    /** Stores a sum from gossip if it is younger than the known one. */
     void merge(Millis now, const ShardSum &sum);
+    /** Returns all sums that are younger than the lifetime, with their ages. */
     std::vector<ShardSum> all(Millis now) const;
-    /** At most count sums for one message, with their ages. */
+    /** Returns at most count sums for one message, with their ages; each sum is sent at most sendLimit times. */
     std::vector<ShardSum> takeNews(Millis now, std::size_t count, std::uint32_t sendLimit);
+    /** Drops sums that reached the lifetime; at most once a second, to save time. */
     void dropExpired(Millis now);
 
 private:
