--- a/sequoiausher/coordination/spread/configurationstate.cpp
+++ b/sequoiausher/coordination/spread/configurationstate.cpp
@@ -9,7 +9,7 @@
 constexpr std::string_view lastGoodPrefix = "last-good/";
 
 /** What was found of one revision of a document. */
-struct Verdict
+struct CheckResult
 {
     Revision revision = 0;
     std::optional<Error> error;
@@ -21,7 +21,7 @@
     DocumentSet documents;
     std::vector<DocumentVersion> versions;
     std::optional<Error> refusal;
-    bool waits = false;
+    bool mustWait = false;
 };
 
 } // namespace
@@ -43,20 +43,20 @@
     {
     }
 
-    const std::optional<Error> &judge(const DocumentPointer &document);
+    const std::optional<Error> &checkCached(const DocumentPointer &document);
     DocumentPointer lastGoodOf(const std::string &name, const DocumentTable &table);
-    void addRefused(const DocumentPointer &document, const DocumentTable &table, Candidate &candidate);
-    Candidate candidateOf(const DocumentTable &table);
-    bool goesBack(const DocumentTable &table) const;
-    bool isNews(const std::optional<Error> &refusal) const;
+    void addLastGoodOrStandIn(const DocumentPointer &document, const DocumentTable &table, Candidate &candidate);
+    Candidate buildCandidate(const DocumentTable &table);
+    bool hasOlderRevision(const DocumentTable &table) const;
+    bool isNewRefusal(const std::optional<Error> &refusal) const;
 
     DocumentChecker &checker;
     std::shared_ptr<const Configuration> current;
     std::optional<Error> refused;
-    std::optional<std::uint64_t> judgedDigest;
-    std::map<std::string, Verdict> verdicts;
+    std::optional<std::uint64_t> checkedDigest;
+    std::map<std::string, CheckResult> verdicts;
     /** By the name of the refused document. */
-    std::map<std::string, DocumentPointer> kept;
+    std::map<std::string, DocumentPointer> lastGoodDocuments;
 };
 
 ConfigurationState::ConfigurationState(DocumentChecker &checker) : d(std::make_unique<Private>(checker))
@@ -65,9 +65,9 @@
 ConfigurationState::~ConfigurationState() = default;
 
 // Documents are judged by themselves, so a verdict holds for as long as the revision does.
-const std::optional<Error> &ConfigurationState::Private::judge(const DocumentPointer &document)
+const std::optional<Error> &ConfigurationState::Private::checkCached(const DocumentPointer &document)
 {
-    Verdict &verdict = this->verdicts[document->name];
+    CheckResult &verdict = this->verdicts[document->name];
     if (verdict.revision != document->revision) {
         verdict = {document->revision, this->checker.check(document)};
     }
@@ -86,37 +86,37 @@
             best = own->second;
         }
     }
-    const DocumentPointer handed = table.find(lastGoodName(name));
-    if (!handed || handed->deleted || (best && best->revision >= handed->revision)) {
+    const DocumentPointer received = table.find(lastGoodName(name));
+    if (!received || received->deleted || (best && best->revision >= received->revision)) {
         return best;
     }
-    const auto renamed = std::make_shared<const Document>(Document{name, handed->revision, handed->body, false});
+    const auto renamed = std::make_shared<const Document>(Document{name, received->revision, received->body, false});
     return this->checker.check(renamed) ? best : renamed;
 }
 
-void ConfigurationState::Private::addRefused(const DocumentPointer &document,
-                                             const DocumentTable &table,
-                                             Candidate &candidate)
+void ConfigurationState::Private::addLastGoodOrStandIn(const DocumentPointer &document,
+                                                       const DocumentTable &table,
+                                                       Candidate &candidate)
 {
     const std::string &name = document->name;
     if (const DocumentPointer good = this->lastGoodOf(name, table)) {
-        this->kept[name] = good;
+        this->lastGoodDocuments[name] = good;
         candidate.documents[name] = good;
         candidate.versions.push_back({name, good->revision});
         return;
     }
     const StandIn standIn = this->checker.standIn(name);
-    candidate.waits = candidate.waits || standIn.kind == StandInKind::WaitForGood;
+    candidate.mustWait = candidate.mustWait || standIn.kind == StandInKind::WaitForGood;
     if (standIn.kind == StandInKind::Replace) {
         candidate.documents[name] = std::make_shared<const Document>(Document{name, 0, standIn.body, false});
         candidate.versions.push_back({name, 0});
     }
 }
 
-Candidate ConfigurationState::Private::candidateOf(const DocumentTable &table)
+Candidate ConfigurationState::Private::buildCandidate(const DocumentTable &table)
 {
     Candidate candidate;
-    this->kept.clear();
+    this->lastGoodDocuments.clear();
     for (const DocumentVersion &version : table.versions()) {
         const DocumentPointer document = table.find(version.name);
         if (isLastGoodName(version.name)) {
@@ -126,7 +126,7 @@
             candidate.versions.push_back(version);
             continue;
         }
-        const std::optional<Error> &error = this->judge(document);
+        const std::optional<Error> &error = this->checkCached(document);
         if (!error) {
             candidate.documents[version.name] = document;
             candidate.versions.push_back(version);
@@ -135,14 +135,14 @@
         if (!candidate.refusal) {
             candidate.refusal = error;
         }
-        this->addRefused(document, table, candidate);
+        this->addLastGoodOrStandIn(document, table, candidate);
     }
     return candidate;
 }
 
 // The table never goes back, so this fires only where a caller offers another table than before, as after a rebuilt
 // one. It would show as an old rule in force; the operator sees the result counted.
-bool ConfigurationState::Private::goesBack(const DocumentTable &table) const
+bool ConfigurationState::Private::hasOlderRevision(const DocumentTable &table) const
 {
     if (!this->current) {
         return false;
@@ -155,7 +155,7 @@
     return false;
 }
 
-bool ConfigurationState::Private::isNews(const std::optional<Error> &refusal) const
+bool ConfigurationState::Private::isNewRefusal(const std::optional<Error> &refusal) const
 {
     return refusal && (!this->refused || std::string(refusal->what()) != this->refused->what());
 }
@@ -163,19 +163,19 @@
 OfferResult ConfigurationState::offer(const DocumentTable &table)
 {
     const std::uint64_t digest = table.digest();
-    if (this->d->judgedDigest == digest) {
+    if (this->d->checkedDigest == digest) {
         return OfferResult::Unchanged;
     }
-    if (this->d->goesBack(table)) {
+    if (this->d->hasOlderRevision(table)) {
         return OfferResult::Reverts;
     }
-    Candidate candidate = this->d->candidateOf(table);
-    this->d->judgedDigest = digest;
-    const bool isNews = this->d->isNews(candidate.refusal);
+    Candidate candidate = this->d->buildCandidate(table);
+    this->d->checkedDigest = digest;
+    const bool isNewRefusal = this->d->isNewRefusal(candidate.refusal);
     this->d->refused = candidate.refusal;
-    const bool moved = !this->d->current || this->d->current->versions != candidate.versions;
-    if (candidate.waits || (this->d->refused && !moved)) {
-        return isNews ? OfferResult::Refused : OfferResult::Unchanged;
+    const bool hasChanged = !this->d->current || this->d->current->versions != candidate.versions;
+    if (candidate.mustWait || (this->d->refused && !hasChanged)) {
+        return isNewRefusal ? OfferResult::Refused : OfferResult::Unchanged;
     }
     // Only documents that are good by themselves are left, so this refuses what none of them shows alone.
     if (const auto error = this->d->checker.checkTogether(candidate.documents)) {
@@ -185,7 +185,7 @@
     auto documents = std::make_shared<const DocumentSet>(std::move(candidate.documents));
     this->d->current = std::make_shared<const Configuration>(
         Configuration{digest, table.highestRevision(), std::move(candidate.versions), std::move(documents)});
-    return moved ? OfferResult::InForce : OfferResult::Unchanged;
+    return hasChanged ? OfferResult::InForce : OfferResult::Unchanged;
 }
 
 std::shared_ptr<const Configuration> ConfigurationState::inForce() const
@@ -201,7 +201,7 @@
 std::vector<Document> ConfigurationState::lastGood() const
 {
     std::vector<Document> documents;
-    for (const auto &[name, good] : this->d->kept) {
+    for (const auto &[name, good] : this->d->lastGoodDocuments) {
         documents.push_back(Document{lastGoodName(name), good->revision, good->body, false});
     }
     return documents;
--- a/sequoiausher/coordination/spread/configurationstate.h
+++ b/sequoiausher/coordination/spread/configurationstate.h
@@ -6,7 +6,8 @@
 //     ConfigurationState configuration(checker);
 //     configuration.offer(table);                       // after each change of the table
 //     const auto inForce = configuration.inForce();     // immutable; a request keeps the one it started with
-//     spread.keep(configuration.lastGood());            // for routers that start while a refused one is the newest
+//     spread.storeLastGood(configuration.lastGood());            // for routers that start while a refused one is the
+//     newest
 
 #include "sequoiausher/base/error.h"
 #include "sequoiausher/state/documents/documenttable.h"
--- a/sequoiausher/coordination/spread/digestexchange.cpp
+++ b/sequoiausher/coordination/spread/digestexchange.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /** What one exchange still waits for. */
-struct Open
+struct OpenExchange
 {
     std::uint64_t number = 0;
     bool answered = false;
@@ -46,7 +46,7 @@
 {
 public:
     std::size_t maxBytes = 0;
-    std::map<InstanceId, Open> open;
+    std::map<InstanceId, OpenExchange> open;
 };
 
 DigestExchange::DigestExchange(std::size_t maxBytes) : d(new Private{maxBytes, {}})
@@ -54,17 +54,18 @@
 }
 DigestExchange::~DigestExchange() = default;
 
-DocumentDigest DigestExchange::request(const InstanceId &peer, std::uint64_t number, const DocumentTable &table)
+DocumentDigest DigestExchange::start(const InstanceId &peer, std::uint64_t number, const DocumentTable &table)
 {
     DocumentDigest digest;
     digest.wantsAnswer = true;
     digest.exchange = number == 0 ? 1 : number;
     digest.buckets = table.bucketDigests();
-    this->d->open[peer] = Open{digest.exchange, false, false, {}};
+    this->d->open[peer] = OpenExchange{digest.exchange, false, false, {}};
     return digest;
 }
 
-DocumentDigest DigestExchange::answer(const DocumentDigest &request, const DocumentTable &table, bool ready) const
+DocumentDigest
+DigestExchange::answerRequest(const DocumentDigest &request, const DocumentTable &table, bool ready) const
 {
     constexpr std::size_t bytesPerRevision = 8;
     DocumentDigest digest;
@@ -89,13 +90,13 @@
     return digest;
 }
 
-bool DigestExchange::accept(const InstanceId &peer, const DocumentDigest &answer, const DocumentTable &table)
+bool DigestExchange::acceptAnswer(const InstanceId &peer, const DocumentDigest &answer, const DocumentTable &table)
 {
     const auto found = this->d->open.find(peer);
     if (found == this->d->open.end() || found->second.number != answer.exchange || found->second.answered) {
         return false;
     }
-    Open &open = found->second;
+    OpenExchange &open = found->second;
     open.answered = true;
     open.complete = answer.complete;
     for (const DocumentVersion &version : answer.versions) {
@@ -127,7 +128,7 @@
     return newer;
 }
 
-void DigestExchange::learnt(const Document &document)
+void DigestExchange::markReceived(const Document &document)
 {
     for (auto &[peer, open] : this->d->open) {
         const auto missing = open.missing.find(document.name);
@@ -137,7 +138,7 @@
     }
 }
 
-bool DigestExchange::isSatisfied(const InstanceId &peer)
+bool DigestExchange::finishIfComplete(const InstanceId &peer)
 {
     const auto found = this->d->open.find(peer);
     if (found == this->d->open.end() || !found->second.answered || !found->second.missing.empty()) {
--- a/sequoiausher/coordination/spread/digestexchange.h
+++ b/sequoiausher/coordination/spread/digestexchange.h
@@ -3,8 +3,8 @@
 // The comparison of two routers' tables: bucket digests one way, the versions in the buckets that differ back. Keeps
 // what this router asked and still waits for.
 //
-//     outbox.push_back({peer, exchange.request(peer, random(), table)});
-//     if (exchange.accept(peer, answer, table)) { ... pull answer.versions ... }
+//     outbox.push_back({peer, exchange.start(peer, random(), table)});
+//     if (exchange.acceptAnswer(peer, answer, table)) { ... pull answer.versions ... }
 
 #include "sequoiausher/base/identifiers.h"
 #include "sequoiausher/coordination/messages/peermessage.h"
@@ -31,22 +31,22 @@
     ~DigestExchange();
 
     /** The request to peer; replaces an earlier one to it. @param number not 0, unlikely to repeat. */
-    DocumentDigest request(const InstanceId &peer, std::uint64_t number, const DocumentTable &table);
+    DocumentDigest start(const InstanceId &peer, std::uint64_t number, const DocumentTable &table);
 
     /** The answer to a peer's request. */
-    DocumentDigest answer(const DocumentDigest &request, const DocumentTable &table, bool ready) const;
+    DocumentDigest answerRequest(const DocumentDigest &request, const DocumentTable &table, bool ready) const;
 
     /** Takes the answer of peer; false where no such request is open. Notes which versions are now waited for. */
-    bool accept(const InstanceId &peer, const DocumentDigest &answer, const DocumentTable &table);
+    bool acceptAnswer(const InstanceId &peer, const DocumentDigest &answer, const DocumentTable &table);
 
     /** Documents in the covered buckets that table has newer than the answer says. */
     std::vector<Document> newerThan(const DocumentDigest &answer, const DocumentTable &table) const;
 
     /** A document arrived: nobody waits for it any more. */
-    void learnt(const Document &document);
+    void markReceived(const Document &document);
 
     /** Whether a ready peer told everything and all of it has arrived; true once for each complete exchange. */
-    bool isSatisfied(const InstanceId &peer);
+    bool finishIfComplete(const InstanceId &peer);
 
     /** Forgets all open exchanges. */
     void clear();
--- a/sequoiausher/coordination/spread/spread.cpp
+++ b/sequoiausher/coordination/spread/spread.cpp
@@ -17,9 +17,9 @@
 
 /** More than a message takes between two routers. */
 constexpr Millis hopAllowance{500};
-constexpr std::string_view readersKey = "configuration readers";
+constexpr std::string_view readerRankKey = "configuration readers";
 /** Apart from the tree of bodies, so that one dead router does not cut the same peers off from both. */
-constexpr std::uint64_t announceSeed = 1;
+constexpr std::uint64_t announcementTreeSeed = 1;
 
 std::uint64_t treeKey(const Document &document, std::uint64_t seed)
 {
@@ -69,8 +69,8 @@
     /** Peers that answered that they cannot tell everything themselves. */
     std::set<InstanceId> unreadyPeers;
     /** The whole list of the service has been learnt. */
-    bool knowsService = false;
-    std::optional<Millis> peersSince;
+    bool hasAllServiceDocuments = false;
+    std::optional<Millis> firstPeerAt;
     std::map<std::string, Awaited> awaited;
     /** Until when another pull of a name waits for the running one. */
     std::map<std::string, Millis> pulling;
@@ -84,27 +84,27 @@
     std::optional<Millis> startedAt;
     std::optional<Millis> lastTick;
     std::optional<Millis> aloneSince;
-    Millis ownDelay;
+    Millis readDelay;
 
     std::size_t rankIn(const std::vector<InstanceId> &members) const;
     std::size_t allowedReaders(Millis now) const;
     std::size_t syncTarget(Millis now) const;
     bool isReady(Millis now) const;
     void start(Millis now);
-    void noteService(Millis at);
+    void recordServiceAnswer(Millis at);
     bool store(Millis now, const Document &document);
-    void pass(const std::vector<Document> &documents, std::uint32_t hops, bool atRoot, Outbox &outbox);
-    void pull(Millis now, const InstanceId &from, const std::vector<DocumentVersion> &versions, Outbox &outbox);
-    void compareWith(const InstanceId &peer, Outbox &outbox);
-    void compareWithSome(Millis now, Outbox &outbox);
-    void noteSynced(Millis now, const InstanceId &peer);
+    void relayDocuments(const std::vector<Document> &documents, std::uint32_t hops, bool atRoot, Outbox &outbox);
+    void sendPull(Millis now, const InstanceId &from, const std::vector<DocumentVersion> &versions, Outbox &outbox);
+    void requestComparison(const InstanceId &peer, Outbox &outbox);
+    void requestComparisons(Millis now, Outbox &outbox);
+    void markSynced(Millis now, const InstanceId &peer);
     bool mayTrustService(Millis now) const;
     void pullOverdue(Millis now, Outbox &outbox);
 };
 
 std::size_t Spread::Private::rankIn(const std::vector<InstanceId> &members) const
 {
-    const auto order = rendezvousTop(members, hash64(readersKey), this->settings.maxReaders);
+    const auto order = rendezvousTop(members, hash64(readerRankKey), this->settings.maxReaders);
     return static_cast<std::size_t>(std::find(order.begin(), order.end(), this->self) - order.begin());
 }
 
@@ -117,17 +117,17 @@
 {
     std::size_t allowed = this->settings.readers;
     Millis silent = now - this->lastService;
-    while (this->serviceSeen && silent >= this->settings.serviceSilent && allowed < this->settings.maxReaders) {
+    while (this->serviceSeen && silent >= this->settings.serviceSilenceTimeout && allowed < this->settings.maxReaders) {
         allowed = std::min(allowed * 2, this->settings.maxReaders);
-        silent = silent - this->settings.serviceSilent;
+        silent = silent - this->settings.serviceSilenceTimeout;
     }
     return allowed;
 }
 
 std::size_t Spread::Private::syncTarget(Millis now) const
 {
-    const bool patient = this->startedAt && now - *this->startedAt < this->settings.syncPatience;
-    return patient ? std::min(this->settings.syncPeers, this->peers.size()) : 1;
+    const bool isWithinTimeout = this->startedAt && now - *this->startedAt < this->settings.multiPeerSyncTimeout;
+    return isWithinTimeout ? std::min(this->settings.syncPeers, this->peers.size()) : 1;
 }
 
 /**
@@ -136,9 +136,9 @@
  */
 bool Spread::Private::isReady(Millis now) const
 {
-    const bool slept = this->lastTick && now - *this->lastTick > this->settings.pauseLimit;
+    const bool wasPaused = this->lastTick && now - *this->lastTick > this->settings.maxTickGap;
     const bool refreshing = this->refreshUntil && now < *this->refreshUntil;
-    return (this->ready || this->mayTrustService(now)) && !slept && !refreshing;
+    return (this->ready || this->mayTrustService(now)) && !wasPaused && !refreshing;
 }
 
 void Spread::Private::start(Millis now)
@@ -149,11 +149,11 @@
     this->startedAt = now;
     this->aloneSince = now;
     this->lastService = now;
-    const auto span = static_cast<std::uint64_t>(std::max<std::int64_t>(this->settings.backOff.count, 1));
-    this->ownDelay = Millis{static_cast<std::int64_t>(this->random() % span)};
+    const auto span = static_cast<std::uint64_t>(std::max<std::int64_t>(this->settings.maxReadDelay.count, 1));
+    this->readDelay = Millis{static_cast<std::int64_t>(this->random() % span)};
 }
 
-void Spread::Private::noteService(Millis at)
+void Spread::Private::recordServiceAnswer(Millis at)
 {
     this->lastService = std::max(this->lastService, at);
     this->serviceSeen = true;
@@ -170,16 +170,19 @@
     if (waited != this->awaited.end() && waited->second.revision <= document.revision) {
         this->awaited.erase(waited);
     }
-    this->exchange.learnt(document);
+    this->exchange.markReceived(document);
     return true;
 }
 
 /**
  * Bodies go to the children in one tree, bare announcements to those in another. A peer whose parent in the first tree
- * died or lost the push hears of the document from the second and pulls it within announceDelay; without the second
- * it would run the old configuration until a digest differs, which would show as stragglers of seconds.
+ * died or lost the push hears of the document from the second and pulls it within announcedPullDelay; without the
+ * second it would run the old configuration until a digest differs, which would show as stragglers of seconds.
  */
-void Spread::Private::pass(const std::vector<Document> &documents, std::uint32_t hops, bool atRoot, Outbox &outbox)
+void Spread::Private::relayDocuments(const std::vector<Document> &documents,
+                                     std::uint32_t hops,
+                                     bool atRoot,
+                                     Outbox &outbox)
 {
     // A router that is still catching up passes on what came down a tree, but not the many old documents it pulls.
     const bool fromTree = hops > 1;
@@ -195,8 +198,8 @@
                  this->tree.children(start, treeKey(document, 0), this->settings.fanOut, isReachable)) {
                 bodies[child].push_back(document);
             }
-            for (const auto &child :
-                 this->tree.children(start, treeKey(document, announceSeed), this->settings.fanOut, isReachable)) {
+            for (const auto &child : this->tree.children(
+                     start, treeKey(document, announcementTreeSeed), this->settings.fanOut, isReachable)) {
                 announcements[child].push_back({document.name, document.revision});
             }
         }
@@ -213,16 +216,16 @@
     }
 }
 
-void Spread::Private::pull(Millis now,
-                           const InstanceId &from,
-                           const std::vector<DocumentVersion> &versions,
-                           Outbox &outbox)
+void Spread::Private::sendPull(Millis now,
+                               const InstanceId &from,
+                               const std::vector<DocumentVersion> &versions,
+                               Outbox &outbox)
 {
     DocumentPull wanted;
     for (const DocumentVersion &version : versions) {
         const auto running = this->pulling.find(version.name);
-        const bool waits = running != this->pulling.end() && now < running->second;
-        if (waits || this->table.revisionOf(version.name) >= version.revision) {
+        const bool isPending = running != this->pulling.end() && now < running->second;
+        if (isPending || this->table.revisionOf(version.name) >= version.revision) {
             continue;
         }
         this->pulling[version.name] = now + this->settings.pullTimeout;
@@ -233,26 +236,26 @@
     }
 }
 
-void Spread::Private::compareWith(const InstanceId &peer, Outbox &outbox)
+void Spread::Private::requestComparison(const InstanceId &peer, Outbox &outbox)
 {
-    outbox.push_back({peer, this->exchange.request(peer, this->random(), this->table)});
+    outbox.push_back({peer, this->exchange.start(peer, this->random(), this->table)});
 }
 
-void Spread::Private::compareWithSome(Millis now, Outbox &outbox)
+void Spread::Private::requestComparisons(Millis now, Outbox &outbox)
 {
     this->nextSync = now + this->settings.syncInterval;
     std::vector<InstanceId> others;
     std::copy_if(this->peers.begin(), this->peers.end(), std::back_inserter(others), [this](const InstanceId &peer) {
         return this->syncedWith.count(peer) == 0;
     });
-    for (std::size_t i = 0; i < this->settings.askedPeers && !others.empty(); ++i) {
+    for (std::size_t i = 0; i < this->settings.syncRequestPeers && !others.empty(); ++i) {
         const std::size_t chosen = this->random() % others.size();
-        this->compareWith(others[chosen], outbox);
+        this->requestComparison(others[chosen], outbox);
         others.erase(others.begin() + static_cast<std::ptrdiff_t>(chosen));
     }
 }
 
-void Spread::Private::noteSynced(Millis now, const InstanceId &peer)
+void Spread::Private::markSynced(Millis now, const InstanceId &peer)
 {
     this->syncedWith.insert(peer);
     this->refreshUntil.reset();
@@ -266,9 +269,9 @@
  */
 bool Spread::Private::mayTrustService(Millis now) const
 {
-    const bool patient = this->peersSince && now - *this->peersSince < this->settings.syncPatience;
-    const std::size_t enough = std::min(this->settings.askedPeers, this->peers.size());
-    return this->knowsService && (!patient || this->unreadyPeers.size() >= enough);
+    const bool isWithinTimeout = this->firstPeerAt && now - *this->firstPeerAt < this->settings.multiPeerSyncTimeout;
+    const std::size_t enough = std::min(this->settings.syncRequestPeers, this->peers.size());
+    return this->hasAllServiceDocuments && (!isWithinTimeout || this->unreadyPeers.size() >= enough);
 }
 
 void Spread::Private::pullOverdue(Millis now, Outbox &outbox)
@@ -280,7 +283,7 @@
         }
     }
     for (const auto &[announcer, versions] : overdue) {
-        this->pull(now, announcer, versions, outbox);
+        this->sendPull(now, announcer, versions, outbox);
         for (const DocumentVersion &version : versions) {
             this->awaited.erase(version.name);
         }
@@ -312,8 +315,8 @@
     }
     if (!this->d->peers.empty()) {
         this->d->aloneSince.reset();
-        if (!this->d->peersSince) {
-            this->d->peersSince = now;
+        if (!this->d->firstPeerAt) {
+            this->d->firstPeerAt = now;
             this->d->nextSync = now;
         }
     } else if (!this->d->aloneSince) {
@@ -339,13 +342,13 @@
         return ReadPlan::Nothing;
     }
     const Millis alone = now - *this->d->aloneSince;
-    if (alone >= this->d->settings.aloneAfter + this->d->ownDelay) {
+    if (alone >= this->d->settings.isolationTimeout + this->d->readDelay) {
         return ReadPlan::Watch;
     }
-    return !knowsList && alone >= this->d->ownDelay ? ReadPlan::Instances : ReadPlan::Nothing;
+    return !knowsList && alone >= this->d->readDelay ? ReadPlan::Instances : ReadPlan::Nothing;
 }
 
-std::vector<std::string> Spread::wanted(const std::vector<DocumentVersion> &listed) const
+std::vector<std::string> Spread::selectNamesToRead(const std::vector<DocumentVersion> &listed) const
 {
     std::vector<std::string> names;
     for (const DocumentVersion &version : listed) {
@@ -358,27 +361,27 @@
 
 void Spread::serviceAnswered(Millis now)
 {
-    this->d->noteService(now);
+    this->d->recordServiceAnswer(now);
 }
 
-void Spread::learnt(Millis now, const std::vector<Document> &documents, bool whole, Outbox &outbox)
+void Spread::addServiceDocuments(Millis now, const std::vector<Document> &documents, bool isComplete, Outbox &outbox)
 {
-    this->d->noteService(now);
+    this->d->recordServiceAnswer(now);
     std::vector<Document> fresh;
     for (const Document &document : documents) {
         if (!isLastGoodName(document.name) && this->d->store(now, document)) {
             fresh.push_back(document);
         }
     }
-    this->d->pass(fresh, 1, true, outbox);
-    if (whole) {
+    this->d->relayDocuments(fresh, 1, true, outbox);
+    if (isComplete) {
         // Not ready for good before the next tick: the list of instances may be among what was read, and name peers.
-        this->d->knowsService = true;
+        this->d->hasAllServiceDocuments = true;
         this->d->refreshUntil.reset();
     }
 }
 
-void Spread::keep(Millis now, const std::vector<Document> &lastGood)
+void Spread::storeLastGood(Millis now, const std::vector<Document> &lastGood)
 {
     for (const Document &document : lastGood) {
         this->d->store(now, document);
@@ -393,16 +396,16 @@
             fresh.push_back(document);
         }
     }
-    this->d->pass(fresh, push.hops + 1, false, outbox);
-    if (this->d->exchange.isSatisfied(from)) {
-        this->d->noteSynced(now, from);
+    this->d->relayDocuments(fresh, push.hops + 1, false, outbox);
+    if (this->d->exchange.finishIfComplete(from)) {
+        this->d->markSynced(now, from);
     }
 }
 
 void Spread::receive(Millis now, const InstanceId &from, const DocumentDigest &digest, Outbox &outbox)
 {
     if (digest.wantsAnswer) {
-        outbox.push_back({from, this->d->exchange.answer(digest, this->d->table, this->d->isReady(now))});
+        outbox.push_back({from, this->d->exchange.answerRequest(digest, this->d->table, this->d->isReady(now))});
         return;
     }
     if (digest.exchange == 0) {
@@ -410,24 +413,24 @@
             const bool known = this->d->table.revisionOf(version.name) >= version.revision;
             const auto waited = this->d->awaited.find(version.name);
             if (!known && (waited == this->d->awaited.end() || waited->second.revision < version.revision)) {
-                this->d->awaited[version.name] = {version.revision, from, now + this->d->settings.announceDelay};
+                this->d->awaited[version.name] = {version.revision, from, now + this->d->settings.announcedPullDelay};
             }
         }
         return;
     }
-    if (!this->d->exchange.accept(from, digest, this->d->table)) {
+    if (!this->d->exchange.acceptAnswer(from, digest, this->d->table)) {
         return;
     }
     if (!digest.complete && !this->d->ready) {
         this->d->unreadyPeers.insert(from);
     }
-    this->d->pull(now, from, digest.versions, outbox);
+    this->d->sendPull(now, from, digest.versions, outbox);
     const auto newer = this->d->exchange.newerThan(digest, this->d->table);
     if (!newer.empty()) {
         addPushes(from, newer, 0, this->d->settings.pushBytes, outbox);
     }
-    if (this->d->exchange.isSatisfied(from)) {
-        this->d->noteSynced(now, from);
+    if (this->d->exchange.finishIfComplete(from)) {
+        this->d->markSynced(now, from);
     }
 }
 
@@ -443,12 +446,12 @@
     addPushes(from, found, 0, this->d->settings.pushBytes, outbox);
 }
 
-void Spread::heard(Millis now, const InstanceId &from, const Gossip &gossip, Outbox &outbox)
+void Spread::receiveGossip(Millis now, const InstanceId &from, const Gossip &gossip, Outbox &outbox)
 {
     if (gossip.serviceAge.count >= 0) {
         // Without the allowance, an age that two routers tell each other would never grow: each hop would lose the
         // time the message took, and a silent service would not be noticed.
-        this->d->noteService(now - gossip.serviceAge - hopAllowance);
+        this->d->recordServiceAnswer(now - gossip.serviceAge - hopAllowance);
     }
     if (gossip.documentsDigest == this->d->table.digest()) {
         this->d->differsSince.reset();
@@ -460,11 +463,11 @@
     if (now < this->d->nextCompare) {
         return;
     }
-    const bool settled = now - this->d->changedAt >= this->d->settings.settle;
-    if (settled || now - *this->d->differsSince >= this->d->settings.mismatchLimit) {
+    const bool settled = now - this->d->changedAt >= this->d->settings.repairQuietPeriod;
+    if (settled || now - *this->d->differsSince >= this->d->settings.mismatchTimeout) {
         this->d->differsSince.reset();
         this->d->nextCompare = now + this->d->settings.compareInterval;
-        this->d->compareWith(from, outbox);
+        this->d->requestComparison(from, outbox);
     }
 }
 
@@ -475,18 +478,18 @@
     this->d->lastTick = now;
     this->d->ready = this->d->ready || this->d->mayTrustService(now);
     if (!this->d->isReady(now) && now >= this->d->nextSync) {
-        this->d->compareWithSome(now, outbox);
+        this->d->requestComparisons(now, outbox);
     }
 }
 
-void Spread::wokeLate(Millis now, Outbox &outbox)
+void Spread::resumeAfterPause(Millis now, Outbox &outbox)
 {
-    this->d->refreshUntil = now + this->d->settings.refreshLimit;
+    this->d->refreshUntil = now + this->d->settings.refreshTimeout;
     this->d->awaited.clear();
     this->d->pulling.clear();
     this->d->syncedWith.clear();
     this->d->exchange.clear();
-    this->d->compareWithSome(now, outbox);
+    this->d->requestComparisons(now, outbox);
 }
 
 bool Spread::isReady(Millis now) const
--- a/sequoiausher/coordination/spread/spread.h
+++ b/sequoiausher/coordination/spread/spread.h
@@ -6,7 +6,7 @@
 //     Spread spread(self, seed, {});
 //     spread.setFleet(now, {listed, reachable});
 //     if (spread.readPlan(now) == ReadPlan::Watch) { ... }      // the caller reads the service
-//     spread.learnt(now, documents, true, outbox);
+//     spread.addServiceDocuments(now, documents, true, outbox);
 //     spread.receive(now, from, push, outbox);
 //     spread.tick(now, outbox);
 //     configuration.offer(spread.documents());
@@ -51,32 +51,32 @@
     /** Bodies in one push, in bytes; a single larger document travels alone. */
     std::size_t pushBytes = 64 * 1024;
     /** How long an announced document may take to arrive by itself before it is pulled. */
-    Millis announceDelay{200};
+    Millis announcedPullDelay{200};
     /** No repair while the own table changed more recently than this: the missing push is likely on its way. */
-    Millis settle{500};
+    Millis repairQuietPeriod{500};
     /** A digest that differed this long is repaired although the table keeps changing. */
-    Millis mismatchLimit{3000};
+    Millis mismatchTimeout{3000};
     /** The least time between two repairs that one router starts. */
     Millis compareInterval{300};
     Millis pullTimeout{2000};
     /** Ready peers with which a fresh router compares all it knows before it is ready itself. */
     std::size_t syncPeers = 2;
     /** Peers that it asks at each interval. */
-    std::size_t askedPeers = 3;
+    std::size_t syncRequestPeers = 3;
     /** After so long one ready peer is enough: when all start anew, two would be rare for long. */
-    Millis syncPatience{3000};
+    Millis multiPeerSyncTimeout{3000};
     Millis syncInterval{1000};
     /** How long without any reachable peer until a router reads the service itself. */
-    Millis aloneAfter{5000};
+    Millis isolationTimeout{5000};
     /** The first read of a router that is no reader falls at random into this span, so that a mass restart of n
      *  routers makes n / span reads a second. */
-    Millis backOff{5000};
+    Millis maxReadDelay{5000};
     /** The service counts as silent when no reader had an answer for so long; longer than a watch waits. */
-    Millis serviceSilent{30000};
+    Millis serviceSilenceTimeout{30000};
     /** A router that woke late is unready until a peer confirmed what it knows, for at most this long. */
-    Millis refreshLimit{2000};
+    Millis refreshTimeout{2000};
     /** A longer time without a tick means that this process slept, though it may not have noticed yet. */
-    Millis pauseLimit{2000};
+    Millis maxTickGap{2000};
 };
 
 /** The routers as this one sees them; both lists hold this router itself. */
@@ -119,35 +119,35 @@
     ReadPlan readPlan(Millis now) const;
 
     /** Of a list that the service gave, the names whose bodies are to be read: newer than known. */
-    std::vector<std::string> wanted(const std::vector<DocumentVersion> &listed) const;
+    std::vector<std::string> selectNamesToRead(const std::vector<DocumentVersion> &listed) const;
 
     /** The service answered, be it with nothing new. */
     void serviceAnswered(Millis now);
 
     /**
      * Documents read from the service.
-     * @param whole with these, everything that the service lists has been learnt: enough to be ready alone.
+     * @param isComplete with these, everything that the service lists has been learnt: enough to be ready alone.
      */
-    void learnt(Millis now, const std::vector<Document> &documents, bool whole, Outbox &outbox);
+    void addServiceDocuments(Millis now, const std::vector<Document> &documents, bool isComplete, Outbox &outbox);
 
     /**
      * Takes up the last good revisions of refused documents. Each router that has them does the same, and digests bring
      * them to those that have not.
      */
-    void keep(Millis now, const std::vector<Document> &lastGood);
+    void storeLastGood(Millis now, const std::vector<Document> &lastGood);
 
     void receive(Millis now, const InstanceId &from, const DocumentPush &push, Outbox &outbox);
     void receive(Millis now, const InstanceId &from, const DocumentDigest &digest, Outbox &outbox);
     void receive(Millis now, const InstanceId &from, const DocumentPull &pull, Outbox &outbox);
 
     /** Gossip came from a peer: compares digests and starts a repair where they differ for longer than a push takes. */
-    void heard(Millis now, const InstanceId &from, const Gossip &gossip, Outbox &outbox);
+    void receiveGossip(Millis now, const InstanceId &from, const Gossip &gossip, Outbox &outbox);
 
     /** Time passes; call a few times a second. */
     void tick(Millis now, Outbox &outbox);
 
     /** This router slept: it compares with peers before it counts as ready again. */
-    void wokeLate(Millis now, Outbox &outbox);
+    void resumeAfterPause(Millis now, Outbox &outbox);
 
     /** Whether the documents may be acted on: learnt from peers or the whole service, and not just woken late. */
     bool isReady(Millis now) const;
--- a/sequoiausher/coordination/spread/spreadtest.cpp
+++ b/sequoiausher/coordination/spread/spreadtest.cpp
@@ -254,10 +254,10 @@
     Outbox outbox;
     spread.setFleet(Millis{0}, {{}, {{"r1"}}});
     CHECK(spread.readPlan(Millis{0}) == ReadPlan::Nothing);
-    CHECK(spread.readPlan(settings.backOff) == ReadPlan::Instances);
-    CHECK(spread.readPlan(settings.backOff + settings.aloneAfter) == ReadPlan::Watch);
-    spread.setFleet(settings.backOff, {{{"r1"}}, {{"r1"}}});
-    CHECK(spread.readPlan(settings.backOff) == ReadPlan::Watch);
-    spread.learnt(settings.backOff, {}, true, outbox);
-    CHECK(spread.isReady(settings.backOff));
+    CHECK(spread.readPlan(settings.maxReadDelay) == ReadPlan::Instances);
+    CHECK(spread.readPlan(settings.maxReadDelay + settings.isolationTimeout) == ReadPlan::Watch);
+    spread.setFleet(settings.maxReadDelay, {{{"r1"}}, {{"r1"}}});
+    CHECK(spread.readPlan(settings.maxReadDelay) == ReadPlan::Watch);
+    spread.addServiceDocuments(settings.maxReadDelay, {}, true, outbox);
+    CHECK(spread.isReady(settings.maxReadDelay));
 }
--- a/sequoiausher/coordination/spread/testfleet.cpp
+++ b/sequoiausher/coordination/spread/testfleet.cpp
@@ -56,7 +56,7 @@
     Millis pausedUntil;
     std::vector<Flight> waiting;
     std::uint64_t view = 0;
-    std::size_t stale = 0;
+    std::size_t staleRevisions = 0;
     /** How much of the service's history the running watch has seen, and when it answers with nothing. */
     std::size_t watched = 0;
     Millis watchEnds;
@@ -178,10 +178,10 @@
         seen = known;
     }
 
-    void learn(std::size_t number, const std::vector<Document> &documents, bool whole)
+    void learn(std::size_t number, const std::vector<Document> &documents, bool isComplete)
     {
         Outbox outbox;
-        this->routers[number].spread->learnt(this->now, documents, whole, outbox);
+        this->routers[number].spread->addServiceDocuments(this->now, documents, isComplete, outbox);
         for (const Document &document : documents) {
             this->noteDocument(number, document);
         }
@@ -190,7 +190,7 @@
         }
     }
 
-    bool watches(std::size_t number) const
+    bool canReadService(std::size_t number) const
     {
         const Router &router = this->routers[number];
         const bool runs = router.alive && this->now >= router.pausedUntil && !router.reading;
@@ -205,9 +205,9 @@
     void readService(std::size_t number)
     {
         Router &router = this->routers[number];
-        const std::size_t shown = this->history.size() - std::min(router.stale, this->history.size());
-        const std::size_t first = router.stale > 0 ? 0 : std::min(router.watched, shown);
-        if (!this->watches(number) || (first == shown && this->now < router.watchEnds)) {
+        const std::size_t shown = this->history.size() - std::min(router.staleRevisions, this->history.size());
+        const std::size_t first = router.staleRevisions > 0 ? 0 : std::min(router.watched, shown);
+        if (!this->canReadService(number) || (first == shown && this->now < router.watchEnds)) {
             return;
         }
         const std::uint64_t calls = 1 + shown - first;
@@ -255,7 +255,7 @@
         router.membership->tick(this->now, outbox);
         for (const MembershipEvent &event : router.membership->takeEvents()) {
             if (event.kind == MembershipEventKind::WokeLate) {
-                router.spread->wokeLate(this->now, outbox);
+                router.spread->resumeAfterPause(this->now, outbox);
             }
             if (this->owner.onEvent) {
                 this->owner.onEvent(number, event);
@@ -291,10 +291,10 @@
     const PeerMessage &message = *flight.message;
     if (const auto *probe = std::get_if<Probe>(&message)) {
         router.membership->receive(this->now, from, *probe, outbox);
-        router.spread->heard(this->now, from, probe->gossip, outbox);
+        router.spread->receiveGossip(this->now, from, probe->gossip, outbox);
     } else if (const auto *reply = std::get_if<ProbeReply>(&message)) {
         router.membership->receive(this->now, from, *reply, outbox);
-        router.spread->heard(this->now, from, reply->gossip, outbox);
+        router.spread->receiveGossip(this->now, from, reply->gossip, outbox);
     } else if (const auto *indirect = std::get_if<IndirectProbe>(&message)) {
         router.membership->receive(this->now, from, *indirect, outbox);
     } else if (const auto *push = std::get_if<DocumentPush>(&message)) {
@@ -371,7 +371,7 @@
 
 void TestFleet::setServiceStale(std::size_t router, std::size_t revisionsAgo)
 {
-    this->d->routers[router].stale = revisionsAgo;
+    this->d->routers[router].staleRevisions = revisionsAgo;
 }
 
 void TestFleet::learnFromService(std::size_t router, const Document &document)
--- a/sequoiausher/transport/router/nodeconfiguration.cpp
+++ b/sequoiausher/transport/router/nodeconfiguration.cpp
@@ -15,7 +15,7 @@
 std::vector<std::string> Node::Private::wanted(const std::vector<DocumentVersion> &listed)
 {
     const std::scoped_lock lock(this->documentsMutex);
-    return this->spread.wanted(listed);
+    return this->spread.selectNamesToRead(listed);
 }
 
 void Node::Private::learnt(const std::vector<Document> &documents, bool whole)
@@ -24,7 +24,7 @@
     Outbox outbox;
     {
         const std::scoped_lock lock(this->documentsMutex);
-        this->spread.learnt(now, documents, whole, outbox);
+        this->spread.addServiceDocuments(now, documents, whole, outbox);
     }
     this->deliver(std::move(outbox));
     this->documentsChanged(now);
@@ -72,7 +72,7 @@
     {
         const std::scoped_lock lock(this->documentsMutex);
         const OfferResult result = this->configurationState.offer(this->spread.documents());
-        this->spread.keep(now, this->configurationState.lastGood());
+        this->spread.storeLastGood(now, this->configurationState.lastGood());
         this->tellRefusal();
         if (result != OfferResult::InForce) {
             return;
--- a/sequoiausher/transport/router/nodemessages.cpp
+++ b/sequoiausher/transport/router/nodemessages.cpp
@@ -235,7 +235,7 @@
     void heardGossip(const Gossip &gossip) const
     {
         const std::scoped_lock lock(this->self.documentsMutex);
-        this->self.spread.heard(this->now, this->from, gossip, this->outbox);
+        this->self.spread.receiveGossip(this->now, this->from, gossip, this->outbox);
     }
 
     Private &self;
--- a/sequoiausher/transport/router/nodeprivate.cpp
+++ b/sequoiausher/transport/router/nodeprivate.cpp
@@ -360,7 +360,7 @@
         if (event.kind == MembershipEventKind::WokeLate) {
             this->log.warning(LogPart::Members, "this router slept and learns anew before it acts");
             const std::scoped_lock lock(this->documentsMutex);
-            this->spread.wokeLate(now, outbox);
+            this->spread.resumeAfterPause(now, outbox);
             this->documentsReady = false;
         } else if (event.kind == MembershipEventKind::TargetChanged) {
             targetsMoved = this->targets.applyNews(now, event.target, event.life) || targetsMoved;
