--- a/sequoiausher/coordination/spread/configurationstate.cpp
+++ b/sequoiausher/coordination/spread/configurationstate.cpp
@@ -8,14 +8,14 @@
 
 constexpr std::string_view lastGoodPrefix = "last-good/";
 
-/** What was found of one revision of a document. */
+/** The cached result of checking one revision of a document. */
 struct CheckResult
 {
     Revision revision = 0;
     std::optional<Error> error;
 };
 
-/** A set to put in force, and what stands in the way. */
+/** A set to put in force, and the reasons against it. */
 struct Candidate
 {
     DocumentSet documents;
@@ -64,7 +64,7 @@
 }
 ConfigurationState::~ConfigurationState() = default;
 
-// Documents are judged by themselves, so a verdict holds for as long as the revision does.
+// Each document is checked on its own, so a result stays valid until the document has a new revision.
 const std::optional<Error> &ConfigurationState::Private::checkCached(const DocumentPointer &document)
 {
     CheckResult &verdict = this->verdicts[document->name];
@@ -74,8 +74,7 @@
     return verdict.error;
 }
 
-/** The newest good revision that this router or, by the table, another one had in force; nullptr where none is known.
- */
+/** Returns the newest good revision that this router, or by the table another one, had in force; nullptr if unknown. */
 DocumentPointer ConfigurationState::Private::lastGoodOf(const std::string &name, const DocumentTable &table)
 {
     DocumentPointer best;
@@ -140,8 +139,8 @@
     return candidate;
 }
 
-// The table never goes back, so this fires only where a caller offers another table than before, as after a rebuilt
-// one. It would show as an old rule in force; the operator sees the result counted.
+// A table never returns to older revisions, so this is true only if a caller offers another table than before, such as
+// a rebuilt one. Without this check an old rule would come into force again; operators see a count of these results.
 bool ConfigurationState::Private::hasOlderRevision(const DocumentTable &table) const
 {
     if (!this->current) {
@@ -177,7 +176,7 @@
     if (candidate.mustWait || (this->d->refused && !hasChanged)) {
         return isNewRefusal ? OfferResult::Refused : OfferResult::Unchanged;
     }
-    // Only documents that are good by themselves are left, so this refuses what none of them shows alone.
+    // Each document left is good on its own, so this check finds only errors that involve several documents.
     if (const auto error = this->d->checker.checkTogether(candidate.documents)) {
         this->d->refused = error;
         return OfferResult::Refused;
--- a/sequoiausher/coordination/spread/configurationstate.h
+++ b/sequoiausher/coordination/spread/configurationstate.h
@@ -1,13 +1,13 @@
 #pragma once
 
-// Which configuration is in force on this router: always one whole, checked set of documents, swapped at once. Each
-// document is judged by itself: of a refused one the last good revision stays, and the others go on.
+// Holds the configuration that is in force on this router: always one whole, checked set of documents, replaced at
+// once. Each document is checked on its own: a refused document stays at its last good revision while the others are
+// updated.
 //
 //     ConfigurationState configuration(checker);
 //     configuration.offer(table);                       // after each change of the table
-//     const auto inForce = configuration.inForce();     // immutable; a request keeps the one it started with
-//     spread.storeLastGood(configuration.lastGood());            // for routers that start while a refused one is the
-//     newest
+//     const auto inForce = configuration.inForce();     // immutable; a request keeps the set it started with
+//     spread.storeLastGood(configuration.lastGood());   // for routers that start while a refused one is newest
 
 #include "sequoiausher/base/error.h"
 #include "sequoiausher/state/documents/documenttable.h"
@@ -20,11 +20,11 @@
 
 namespace Sequoiausher {
 
-/** What becomes of a set in which a refused document has no good revision. */
+/** How a set is handled in which a refused document has no good revision. */
 enum class StandInKind {
-    /** The others come into force without it. */
+    /** The other documents come into force without the refused one. */
     LeaveOut,
-    /** The others come into force, with StandIn::body in its place. */
+    /** The other documents come into force, with StandIn::body in place of the refused one. */
     Replace,
     /** Nothing comes into force. */
     WaitForGood,
@@ -44,25 +44,25 @@
 };
 
 /**
- * Says whether documents may come into force. It must judge the same way on every router, and so by the texts alone: it
- * may keep what it read of a document, not let it bear on another's verdict.
+ * Decides whether documents may come into force. Every router must reach the same result, so the result may depend on
+ * the texts alone. A checker may cache what it parsed of a document, but this must not affect the result for another
+ * one.
  */
 class DocumentChecker
 {
 public:
     virtual ~DocumentChecker() = default;
 
-    /** std::nullopt where the document, taken by itself, is good; else an error that names document, line and reason.
-     */
+    /** Returns an error with document, line and reason if the document on its own is bad; else std::nullopt. */
     virtual std::optional<Error> check(const DocumentPointer &document) = 0;
 
     /**
-     * The same for a whole set of documents each of which is good by itself. It is asked at each change, so it should
-     * cost what is new in the set. A set that it finds good comes into force.
+     * Checks a whole set of documents, each of which is good on its own, and returns as check() does. It is called at
+     * each change, so its cost should depend on what is new in the set. A good set comes into force.
      */
     virtual std::optional<Error> checkTogether(const DocumentSet &candidate) = 0;
 
-    /** What takes the place of a refused document while no good revision of it is known. */
+    /** Returns the substitute for a refused document while no good revision of the document is known. */
     virtual StandIn standIn(const std::string &name) const
     {
         static_cast<void>(name);
@@ -70,26 +70,26 @@
     }
 };
 
-/** One set in force. */
+/** A set of documents that is or was in force. */
 struct Configuration
 {
-    /** DocumentTable::digest() of the table that it was made from: equal digests, equal configuration. */
+    /** DocumentTable::digest() of the table that this was made from: equal digests, equal configuration. */
     std::uint64_t digest = 0;
     Revision highestRevision = 0;
-    /** Every name with the revision it was built from, tombstones included; 0 where a stand-in takes its place. */
+    /** Every document name, deleted ones included, with the revision used; 0 for a stand-in. */
     std::vector<DocumentVersion> versions;
     std::shared_ptr<const DocumentSet> documents;
 };
 
-/** What became of an offered set. */
+/** The result of offering a set. */
 enum class OfferResult {
-    /** A new set is in force; refusal() tells of documents in it that stayed at their last good revision. */
+    /** A new set is in force; refusal() gives the error if a document in it is refused. */
     InForce,
-    /** It is in force already, or was refused already. */
+    /** The set is in force already, or was refused already. */
     Unchanged,
-    /** What is new in it is refused; the last good set stays. */
+    /** The changes in the set are refused; the last good set stays in force. */
     Refused,
-    /** Some document in it is older than the one in force, or missing. */
+    /** A document in the set is older than the one in force, or missing. */
     Reverts,
 };
 
@@ -101,30 +101,30 @@
     {OfferResult::Reverts, "reverts"},
 });
 
-/** Under which name the last good revision of a refused document spreads. */
+/** Returns the name under which the last good revision of a refused document is sent to other routers. */
 std::string lastGoodName(const std::string &name);
 
-/** Whether name is one that lastGoodName() makes. The service may not publish such a document. */
+/** Returns whether name has the form that lastGoodName() returns. The service may not publish such a document. */
 bool isLastGoodName(std::string_view name);
 
-/** Not thread-safe; the caller locks, or hands the pointer that inForce() gives to its workers. */
+/** Not thread-safe: callers must lock, or pass the pointer that inForce() returns to their workers. */
 class ConfigurationState
 {
 public:
-    /** @param checker outlives this. */
+    /** @param checker must outlive this object. */
     explicit ConfigurationState(DocumentChecker &checker);
     ~ConfigurationState();
 
-    /** Checks what is new in the table and puts what is good in force at once, or keeps what is. */
+    /** Checks what is new in the table, and puts the good documents in force at once or keeps the current set. */
     OfferResult offer(const DocumentTable &table);
 
-    /** The set in force; nullptr until one was accepted. */
+    /** Returns the set in force; nullptr until a set was accepted. */
     std::shared_ptr<const Configuration> inForce() const;
 
-    /** Why the newest revision of some document is refused; std::nullopt once all are good. */
+    /** Returns why the newest revision of some document is refused; std::nullopt once all documents are good. */
     const std::optional<Error> &refusal() const;
 
-    /** For each refused document its last good revision, under lastGoodName(): a document like any other. */
+    /** Returns the last good revision of each refused document under its lastGoodName(), as an ordinary document. */
     std::vector<Document> lastGood() const;
 
 private:
--- a/sequoiausher/coordination/spread/configurationstatetest.cpp
+++ b/sequoiausher/coordination/spread/configurationstatetest.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("a bad set is refused whole and the last good one stays until it is mended")
+TEST_CASE("a bad set is refused as a whole and the last good set stays in force until the set is corrected")
 {
     RefusesBad checker;
     ConfigurationState state(checker);
@@ -59,8 +59,8 @@
 
 TEST_CASE("a set older than the one in force never comes into force")
 {
-    // Symptom: an accepted rule is undone. A caller rebuilds its table from a stale peer and offers it. Cause: only
-    // the digest was compared, which tells that sets differ, not which is newer.
+    // Guards against reverting an accepted rule after a caller rebuilds its table from a stale peer and offers that
+    // table. A comparison of digests shows that sets differ, not which set is newer.
     RefusesBad checker;
     ConfigurationState state(checker);
     DocumentTable newer;
@@ -73,10 +73,10 @@
     CHECK(state.inForce()->highestRevision == 5);
 }
 
-TEST_CASE("a refused document stays at its last good revision while the others go on")
+TEST_CASE("a refused document stays at its last good revision while the others are updated")
 {
-    // Symptom: one organisation's typing error held up every other organisation's changes. Cause: the set was judged
-    // whole, though each document is good or bad by itself.
+    // Guards against a typing error of one organisation that blocks the changes of every other organisation. This
+    // happens if the set is checked only as a whole, although each document is good or bad on its own.
     RefusesBad checker;
     ConfigurationState state(checker);
     DocumentTable table;
@@ -97,10 +97,10 @@
     CHECK_FALSE(state.refusal().has_value());
 }
 
-TEST_CASE("a router that starts while a refused document is the newest learns the last good one from the others")
+TEST_CASE("a router that starts while a refused revision is the newest gets the last good one from other routers")
 {
-    // Symptom: a replaced instance had no configuration at all until somebody mended a document. Cause: the table holds
-    // the newest revision alone, and the last good one was known only to those that had it in force.
+    // Guards against a replaced instance that has no configuration at all until a document is corrected. The table
+    // holds only the newest revision, and only routers that had the last good revision in force still have it.
     RefusesBad checker;
     ConfigurationState running(checker);
     DocumentTable table;
@@ -119,7 +119,7 @@
     CHECK(fresh.inForce()->documents->at("b")->revision == 2);
     CHECK(fresh.inForce()->documents->count("last-good/b") == 0);
     CHECK(fresh.lastGood() == running.lastGood());
-    // A later good one goes before what was kept, and so does a later one that another router had in force.
+    // A later good revision replaces the stored one, and so does a later revision that another router had in force.
     table.learn({"last-good/b", 4, "later", false});
     table.learn({"b", 5, "bad", false});
     CHECK(fresh.offer(table) == OfferResult::InForce);
@@ -130,11 +130,11 @@
     CHECK(fresh.lastGood().empty());
 }
 
-TEST_CASE("where nobody knows a good revision, the document's stand-in decides")
+TEST_CASE("if no router has a good revision, the document's stand-in decides")
 {
-    // Symptom: the whole fleet restarted while a refused document was the newest, and no request was served. Nobody
-    // remembers a last good one then; leaving out an organisation's rules would route its requests by rules that may
-    // not ask for a claim, so a stand-in refuses them.
+    // Guards against serving no request at all after the whole fleet restarts while a refused revision is the newest.
+    // No router has a last good revision then. Without an organisation's rules, its requests would be routed by rules
+    // that may not require a claim, so a stand-in refuses these requests.
     RefusesBad checker;
     ConfigurationState state(checker);
     DocumentTable table;
--- a/sequoiausher/coordination/spread/digestexchange.cpp
+++ b/sequoiausher/coordination/spread/digestexchange.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** What one exchange still waits for. */
+/** An exchange that this router started, with the versions it still waits for. */
 struct OpenExchange
 {
     std::uint64_t number = 0;
--- a/sequoiausher/coordination/spread/digestexchange.h
+++ b/sequoiausher/coordination/spread/digestexchange.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The comparison of two routers' tables: bucket digests one way, the versions in the buckets that differ back. Keeps
-// what this router asked and still waits for.
+// Compares the document tables of two routers: one sends bucket digests, the other returns the versions in the buckets
+// that differ. Tracks the comparisons that this router started and the documents it still waits for.
 //
 //     outbox.push_back({peer, exchange.start(peer, random(), table)});
 //     if (exchange.acceptAnswer(peer, answer, table)) { ... pull answer.versions ... }
@@ -15,40 +15,43 @@
 
 namespace Sequoiausher {
 
-/** Adds pushes of the documents to peer, each of at most maxBytes of names and bodies but for a larger document. */
+/** Adds pushes of the documents to peer, each with at most maxBytes of names and bodies, or one larger document. */
 void addPushes(const InstanceId &peer,
                const std::vector<Document> &documents,
                std::uint32_t hops,
                std::size_t maxBytes,
                Outbox &outbox);
 
-/** Comparisons that this router started and those it answers. Not thread-safe. */
+/** The comparisons that this router starts and answers. Not thread-safe. */
 class DigestExchange
 {
 public:
-    /** @param maxBytes an answer holds no more names than fit in this. */
+    /** @param maxBytes an answer adds no further bucket once its names and revisions exceed this size. */
     explicit DigestExchange(std::size_t maxBytes);
     ~DigestExchange();
 
-    /** The request to peer; replaces an earlier one to it. @param number not 0, unlikely to repeat. */
+    /** Returns the request to peer, and replaces an earlier one to the same peer. @param number unlikely to repeat. */
     DocumentDigest start(const InstanceId &peer, std::uint64_t number, const DocumentTable &table);
 
-    /** The answer to a peer's request. */
+    /** Returns the answer to a peer's request. @param ready whether this router is ready itself. */
     DocumentDigest answerRequest(const DocumentDigest &request, const DocumentTable &table, bool ready) const;
 
-    /** Takes the answer of peer; false where no such request is open. Notes which versions are now waited for. */
+    /** Records the answer of peer and the versions this router now waits for; false if no such request is open. */
     bool acceptAnswer(const InstanceId &peer, const DocumentDigest &answer, const DocumentTable &table);
 
-    /** Documents in the covered buckets that table has newer than the answer says. */
+    /** Returns the documents in the covered buckets that are newer in table than in the answer. */
     std::vector<Document> newerThan(const DocumentDigest &answer, const DocumentTable &table) const;
 
-    /** A document arrived: nobody waits for it any more. */
+    /** Records the arrival of a document, so that no exchange waits for it any longer. */
     void markReceived(const Document &document);
 
-    /** Whether a ready peer told everything and all of it has arrived; true once for each complete exchange. */
+    /**
+     * Ends the exchange with peer if all versions of its answer have arrived. Returns true, once per exchange, if the
+     * answer also was complete: from a ready peer, and with all buckets that differ.
+     */
     bool finishIfComplete(const InstanceId &peer);
 
-    /** Forgets all open exchanges. */
+    /** Discards all open exchanges. */
     void clear();
 
 private:
--- a/sequoiausher/coordination/spread/relaytree.cpp
+++ b/sequoiausher/coordination/spread/relaytree.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Adds the children of place (0 is the root, order[i] stands at place i + 1), stepping over unreachable ones. */
+/** Adds the children of place, with unreachable ones replaced by theirs. 0 is the root; order[i] is at place i + 1. */
 void addChildren(std::size_t place,
                  std::size_t fanOut,
                  const std::vector<std::size_t> &order,
@@ -43,7 +43,7 @@
     std::vector<InstanceId> members;
     std::vector<std::uint64_t> hashes;
 
-    /** Where a member stands in rendezvous order, from 1. Most have no children, which this tells without sorting. */
+    /** Returns a member's place in rendezvous order, from 1, without a sort. Most places have no children. */
     std::size_t placeOf(std::size_t member, std::uint64_t key) const
     {
         const std::uint64_t hash = this->hashes[member];
--- a/sequoiausher/coordination/spread/relaytree.h
+++ b/sequoiausher/coordination/spread/relaytree.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The tree down which a new document travels. Every router works out the same tree from the same list and the same
-// key, so nothing is negotiated, and a new key (each revision has one) gives another tree, which spreads the work.
+// Computes the tree along which a new document is sent. Every router computes the same tree from the same list and key,
+// so routers need not negotiate. Each revision has its own key and so another tree, which spreads the work.
 //
 //     const RelayTree tree(view.listed);
 //     for (const InstanceId &child : tree.children(self, key, 8, isReachable)) { ... push ... }
@@ -15,12 +15,12 @@
 
 namespace Sequoiausher {
 
-/** A router that knows of no reason against the peer passes true. */
+/** Returns whether a peer can be reached; a router without evidence against the peer returns true. */
 using ReachableTest = std::function<bool(const InstanceId &)>;
 
 /**
- * A tree of fan-out f over the members in rendezvous order for a key. Its root is no member: whoever learnt the
- * document from the service feeds the first f members, so no single instance is needed for a change to start.
+ * A tree of fan-out f over the members in rendezvous order for a key. Its root is not a member: any router that read
+ * the document from the service sends it to the first f members, so no single instance is needed to start a change.
  */
 class RelayTree
 {
@@ -30,10 +30,10 @@
     RelayTree(RelayTree &&) noexcept;
     RelayTree &operator=(RelayTree &&) noexcept;
 
-    /** The members that the root feeds: the first fanOut in order, or in place of each unreachable one its children. */
+    /** Returns the members that the root sends to: the first fanOut, each unreachable one replaced by its children. */
     std::vector<InstanceId> rootChildren(std::uint64_t key, std::size_t fanOut, const ReachableTest &isReachable) const;
 
-    /** The members that self feeds, unreachable ones replaced likewise; none where self is no member. */
+    /** Returns the members that self sends to, with the same replacement; none if self is not a member. */
     std::vector<InstanceId>
     children(const InstanceId &self, std::uint64_t key, std::size_t fanOut, const ReachableTest &isReachable) const;
 
--- a/sequoiausher/coordination/spread/relaytreetest.cpp
+++ b/sequoiausher/coordination/spread/relaytreetest.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-TEST_CASE("each reachable member is fed exactly once, whoever is unreachable")
+TEST_CASE("each reachable member receives exactly one copy, whichever members are unreachable")
 {
     for (const std::size_t size : {std::size_t{1}, std::size_t{7}, std::size_t{100}, std::size_t{1300}}) {
         for (const std::size_t everyNthDead : {std::size_t{0}, std::size_t{2}, std::size_t{10}}) {
@@ -49,7 +49,7 @@
     }
 }
 
-TEST_CASE("a router that is not in the list feeds nobody")
+TEST_CASE("a router that is not in the list sends to no member")
 {
     const RelayTree tree({{"a"}, {"b"}});
     CHECK(tree.children({"c"}, 1, 8, [](const InstanceId &) { return true; }).empty());
--- a/sequoiausher/coordination/spread/spread.cpp
+++ b/sequoiausher/coordination/spread/spread.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-/** More than a message takes between two routers. */
+/** Longer than a message takes between two routers. */
 constexpr Millis hopAllowance{500};
 constexpr std::string_view readerRankKey = "configuration readers";
-/** Apart from the tree of bodies, so that one dead router does not cut the same peers off from both. */
+/** Gives announcements another tree than bodies, so that one dead router does not cut the same peers off from both. */
 constexpr std::uint64_t announcementTreeSeed = 1;
 
 std::uint64_t treeKey(const Document &document, std::uint64_t seed)
@@ -61,18 +61,18 @@
     RelayTree tree;
     std::set<InstanceId> reachable;
     std::vector<InstanceId> peers;
-    /** Place of this router among the readers of either list. */
+    /** Lower one of this router's places in the reader orders of the listed and of the reachable routers. */
     std::size_t readerRank = 0;
 
     bool ready = false;
     std::set<InstanceId> syncedWith;
-    /** Peers that answered that they cannot tell everything themselves. */
+    /** Peers whose answers were incomplete, such as those of peers that are not ready. */
     std::set<InstanceId> unreadyPeers;
-    /** The whole list of the service has been learnt. */
+    /** All documents that the service lists have been read. */
     bool hasAllServiceDocuments = false;
     std::optional<Millis> firstPeerAt;
     std::map<std::string, Awaited> awaited;
-    /** Until when another pull of a name waits for the running one. */
+    /** Time by name until which no further pull is sent, because one is in flight. */
     std::map<std::string, Millis> pulling;
     std::optional<Millis> refreshUntil;
     std::optional<Millis> differsSince;
@@ -109,9 +109,9 @@
 }
 
 /**
- * While no router has an answer, the readers may be the ones that are cut off from the service rather than the
- * service being down; that would show as a serviceAge that grows while other routers could read. So the number of
- * readers doubles with each further silent span, up to a limit that keeps the read budget.
+ * While no reader gets an answer, the service may be down, or only the readers may be cut off from the service; then
+ * serviceAge grows although other routers could read. The number of readers therefore doubles with each further
+ * serviceSilenceTimeout, up to a limit that keeps the read budget.
  */
 std::size_t Spread::Private::allowedReaders(Millis now) const
 {
@@ -131,8 +131,8 @@
 }
 
 /**
- * A process that has just woken handles messages before its next tick tells it that it slept. If it passed for ready
- * then, a fresh router that asked it would start with what was true before the pause.
+ * After a pause a process handles messages before its next tick detects the pause. If the process counted as ready
+ * then, a new router that compares with it would start with documents from before the pause.
  */
 bool Spread::Private::isReady(Millis now) const
 {
@@ -175,16 +175,17 @@
 }
 
 /**
- * Bodies go to the children in one tree, bare announcements to those in another. A peer whose parent in the first tree
- * died or lost the push hears of the document from the second and pulls it within announcedPullDelay; without the
- * second it would run the old configuration until a digest differs, which would show as stragglers of seconds.
+ * Sends bodies to the children in one tree and announcements without bodies to the children in another. If the parent
+ * of a peer in the first tree died, or the push was lost, the peer gets the announcement and pulls the document after
+ * announcedPullDelay. Without announcements, the peer would run the old configuration for seconds until a digest
+ * differs.
  */
 void Spread::Private::relayDocuments(const std::vector<Document> &documents,
                                      std::uint32_t hops,
                                      bool atRoot,
                                      Outbox &outbox)
 {
-    // A router that is still catching up passes on what came down a tree, but not the many old documents it pulls.
+    // A router that is not ready yet relays documents that came along a tree, but not the many old ones that it pulls.
     const bool fromTree = hops > 1;
     if ((!this->ready && !fromTree) || hops > this->settings.maxHops) {
         return;
@@ -263,9 +264,9 @@
 }
 
 /**
- * The service may be stale for long while the peers know better; a fresh router that took its word alone would run old
- * rules until it had compared itself with somebody. So its word is enough only where no peer can tell: there is none,
- * those asked are not ready themselves, as when all start at once, or none answers.
+ * The service may be stale for long while peers have newer documents. A new router that relied on the service alone
+ * would run old rules until it compared with a peer. So the service is enough only if no peer can help: there is no
+ * peer, the peers asked are not ready themselves (as when all routers start at once), or no peer answers.
  */
 bool Spread::Private::mayTrustService(Millis now) const
 {
@@ -375,7 +376,8 @@
     }
     this->d->relayDocuments(fresh, 1, true, outbox);
     if (isComplete) {
-        // Not ready for good before the next tick: the list of instances may be among what was read, and name peers.
+        // Becomes ready with the next tick at the earliest: the documents read may include the instance list with
+        // peers.
         this->d->hasAllServiceDocuments = true;
         this->d->refreshUntil.reset();
     }
@@ -449,8 +451,8 @@
 void Spread::receiveGossip(Millis now, const InstanceId &from, const Gossip &gossip, Outbox &outbox)
 {
     if (gossip.serviceAge.count >= 0) {
-        // Without the allowance, an age that two routers tell each other would never grow: each hop would lose the
-        // time the message took, and a silent service would not be noticed.
+        // Without the allowance, an age that two routers send each other would never grow: each hop would lose the time
+        // that the message took, and a silent service would not be detected.
         this->d->recordServiceAnswer(now - gossip.serviceAge - hopAllowance);
     }
     if (gossip.documentsDigest == this->d->table.digest()) {
--- a/sequoiausher/coordination/spread/spread.h
+++ b/sequoiausher/coordination/spread/spread.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Spreads configuration documents through the fleet: a few readers watch the platform's service, new documents travel
-// down a tree of routers, and digests on the gossip find and repair what that missed.
+// Distributes configuration documents to the fleet. A few readers watch the platform's service and send new documents
+// along a tree of routers. Digests on gossip find documents that a router missed, and the router then fetches them.
 //
 //     Spread spread(self, seed, {});
 //     spread.setFleet(now, {listed, reachable});
@@ -24,11 +24,11 @@
 
 /** What this router should read from the platform's service now. */
 enum class ReadPlan {
-    /** Nothing: the peers tell. */
+    /** Nothing: peers send the documents. */
     Nothing,
     /** One call for the list of instances, to find peers. */
     Instances,
-    /** Watch the service, and read each document that is newer than known. */
+    /** Watch the service, and read each document that is newer than the known one. */
     Watch,
 };
 
@@ -41,54 +41,56 @@
 
 struct SpreadSettings
 {
-    /** Routers that watch the service while it answers them. */
+    /** Number of routers that watch the service while the service answers. */
     std::size_t readers = 3;
-    /** The most routers that watch when no reader has an answer. */
+    /** Largest number of routers that watch while no reader gets an answer. */
     std::size_t maxReaders = 24;
-    /** Peers to which a router passes a new document. */
+    /** Number of peers to which a router sends a new document. */
     std::size_t fanOut = 8;
     std::uint32_t maxHops = 16;
-    /** Bodies in one push, in bytes; a single larger document travels alone. */
+    /** Largest total size of the documents in one push, in bytes; a larger document is sent on its own. */
     std::size_t pushBytes = 64 * 1024;
-    /** How long an announced document may take to arrive by itself before it is pulled. */
+    /** Time for an announced document to arrive by push before it is pulled. */
     Millis announcedPullDelay{200};
-    /** No repair while the own table changed more recently than this: the missing push is likely on its way. */
+    /** No repair while the own table changed more recently than this, as the missing push is probably in flight. */
     Millis repairQuietPeriod{500};
-    /** A digest that differed this long is repaired although the table keeps changing. */
+    /** A digest that differed for this long is repaired although the table keeps changing. */
     Millis mismatchTimeout{3000};
-    /** The least time between two repairs that one router starts. */
+    /** Shortest time between two repairs that one router starts. */
     Millis compareInterval{300};
     Millis pullTimeout{2000};
-    /** Ready peers with which a fresh router compares all it knows before it is ready itself. */
+    /** Number of ready peers with which a new router compares its documents before it becomes ready. */
     std::size_t syncPeers = 2;
-    /** Peers that it asks at each interval. */
+    /** Number of peers to which a router that is not ready sends comparisons per syncInterval. */
     std::size_t syncRequestPeers = 3;
-    /** After so long one ready peer is enough: when all start anew, two would be rare for long. */
+    /** After this time one ready peer is enough: when all routers restart, two ready peers would be rare for long. */
     Millis multiPeerSyncTimeout{3000};
     Millis syncInterval{1000};
-    /** How long without any reachable peer until a router reads the service itself. */
+    /** Time without any reachable peer after which a router reads the service itself. */
     Millis isolationTimeout{5000};
-    /** The first read of a router that is no reader falls at random into this span, so that a mass restart of n
-     *  routers makes n / span reads a second. */
+    /**
+     * The first read of a router that is not a reader is delayed by a random time up to this, so that a restart of n
+     * routers causes n / maxReadDelay reads a second.
+     */
     Millis maxReadDelay{5000};
-    /** The service counts as silent when no reader had an answer for so long; longer than a watch waits. */
+    /** The service counts as silent if no reader got an answer for this long; longer than a watch waits. */
     Millis serviceSilenceTimeout{30000};
-    /** A router that woke late is unready until a peer confirmed what it knows, for at most this long. */
+    /** After a pause a router is not ready until a peer confirms its documents, for at most this long. */
     Millis refreshTimeout{2000};
-    /** A longer time without a tick means that this process slept, though it may not have noticed yet. */
+    /** A longer time without a tick means that this process was paused, even before the next tick detects the pause. */
     Millis maxTickGap{2000};
 };
 
-/** The routers as this one sees them; both lists hold this router itself. */
+/** The routers as this router sees them; both lists can include this router itself. */
 struct FleetView
 {
     /** From the platform's list. */
     std::vector<InstanceId> listed;
-    /** Those of them that answer and are not leaving. */
+    /** Listed routers that answer and are not leaving. */
     std::vector<InstanceId> reachable;
 };
 
-/** What rides on gossip about the documents. */
+/** The state of the documents that gossip carries. */
 struct DocumentSummary
 {
     std::uint64_t digest = 0;
@@ -97,8 +99,8 @@
 };
 
 /**
- * One router's part in the spread. Times are this router's monotonic clock; nothing compares clocks of two routers.
- * Documents never go back, see DocumentTable. Not thread-safe.
+ * One router's part in the distribution. Times are read from this router's monotonic clock; clocks of two routers are
+ * never compared. Documents never return to older revisions, see DocumentTable. Not thread-safe.
  */
 class Spread
 {
@@ -106,33 +108,35 @@
     Spread(InstanceId self, std::uint64_t seed, const SpreadSettings &settings);
     ~Spread();
 
-    /** Tells the current view; call on each change of the platform's list or of reachability. */
+    /** Sets the current view; call on each change of the platform's list or of reachability. */
     void setFleet(Millis now, const FleetView &view);
 
     /**
-     * Whether this router watches the service: among the first by rendezvous over the platform's list, or over those
-     * that are reachable, so that the next takes over from a failed one; more routers do while the service is silent.
+     * Returns whether this router watches the service. Readers are the first routers in rendezvous order of the
+     * platform's list, or of the reachable routers, so that the next router takes over from a failed reader. There are
+     * more readers while the service is silent.
      */
     bool isReader(Millis now) const;
 
-    /** What to read from the service now; see ReadPlan. */
+    /** Returns what to read from the service now. */
     ReadPlan readPlan(Millis now) const;
 
-    /** Of a list that the service gave, the names whose bodies are to be read: newer than known. */
+    /** Selects the names from the service's list whose revisions are newer than known, and whose bodies to read. */
     std::vector<std::string> selectNamesToRead(const std::vector<DocumentVersion> &listed) const;
 
-    /** The service answered, be it with nothing new. */
+    /** Call when the service answered, even with nothing new. */
     void serviceAnswered(Millis now);
 
     /**
-     * Documents read from the service.
-     * @param isComplete with these, everything that the service lists has been learnt: enough to be ready alone.
+     * Adds documents read from the service and sends new ones to peers.
+     * @param isComplete whether this router now has everything that the service lists, which can be enough to be ready
+     * without peers.
      */
     void addServiceDocuments(Millis now, const std::vector<Document> &documents, bool isComplete, Outbox &outbox);
 
     /**
-     * Takes up the last good revisions of refused documents. Each router that has them does the same, and digests bring
-     * them to those that have not.
+     * Stores the last good revisions of refused documents. Each router that has such revisions stores them, and digests
+     * bring them to the routers that lack them.
      */
     void storeLastGood(Millis now, const std::vector<Document> &lastGood);
 
@@ -140,16 +144,16 @@
     void receive(Millis now, const InstanceId &from, const DocumentDigest &digest, Outbox &outbox);
     void receive(Millis now, const InstanceId &from, const DocumentPull &pull, Outbox &outbox);
 
-    /** Gossip came from a peer: compares digests and starts a repair where they differ for longer than a push takes. */
+    /** Compares the digest in a peer's gossip, and starts a repair if digests differ for longer than a push takes. */
     void receiveGossip(Millis now, const InstanceId &from, const Gossip &gossip, Outbox &outbox);
 
-    /** Time passes; call a few times a second. */
+    /** Sends overdue pulls and due comparisons; call a few times a second. */
     void tick(Millis now, Outbox &outbox);
 
-    /** This router slept: it compares with peers before it counts as ready again. */
+    /** Call after a pause of this process: the router compares with peers before it counts as ready again. */
     void resumeAfterPause(Millis now, Outbox &outbox);
 
-    /** Whether the documents may be acted on: learnt from peers or the whole service, and not just woken late. */
+    /** Returns whether the documents may be used: complete from peers or the service, and not outdated by a pause. */
     bool isReady(Millis now) const;
 
     const DocumentTable &documents() const;
--- a/sequoiausher/coordination/spread/spreadtest.cpp
+++ b/sequoiausher/coordination/spread/spreadtest.cpp
@@ -41,7 +41,7 @@
     return numbers;
 }
 
-/** One random fault or change. */
+/** Causes one random fault or change. */
 void disturb(TestFleet &fleet, std::mt19937_64 &random)
 {
     const std::size_t router = random() % fleet.size();
@@ -109,11 +109,12 @@
 
 } // namespace
 
-TEST_CASE("after any faults every router holds the newest documents, and none ever went back")
+TEST_CASE("after any faults every router holds the newest documents, and none ever returned to an older revision")
 {
-    // Symptom: a rule that was accepted is undone on some routers. Messages are lost, repeated and overtake each
-    // other, routers pause, forget and are cut off, readers see an old service. Cause: whoever keeps what it received
-    // last takes a late copy for news; the shadow that does so shows that these runs do provoke it.
+    // Guards against reverting an accepted rule on some routers. Messages are lost, repeated and reordered, routers
+    // pause, restart and are cut off, and readers see old states of the service. A router that kept whatever it
+    // received last would accept a late copy as new; the shadow that does this proves that these runs provoke the
+    // failure.
     std::uint64_t naiveReversions = 0;
     const bool holds = rc::check([&naiveReversions] {
         const auto seed = *rc::gen::inRange<std::uint64_t>(1, 1000000);
@@ -150,10 +151,10 @@
     }
 }
 
-TEST_CASE("readers are few, and the next one takes over from a failed one")
+TEST_CASE("only a few routers read the service, and the next one takes over from a failed reader")
 {
-    // Symptom: configuration stands still. All readers are on machines that failed; the platform's list still shows
-    // them. Cause: readers chosen from the list alone; those reachable must count as well.
+    // Guards against configuration that stops changing because all readers are on failed machines that the platform's
+    // list still holds. Choosing readers from the list alone causes this; the reachable routers must count as well.
     TestFleetSettings settings;
     settings.routers = 12;
     TestFleet fleet(settings);
@@ -171,7 +172,7 @@
     CHECK(routersThatDiffer(fleet) == 0);
 }
 
-TEST_CASE("while the service is down what one router knows still reaches all, and more routers try to read")
+TEST_CASE("while the service is down a document of one router still reaches all, and more routers try to read")
 {
     TestFleetSettings settings;
     settings.routers = 50;
@@ -189,7 +190,7 @@
     CHECK(unready(fleet) == 0);
 }
 
-TEST_CASE("a restarted router is not ready until peers told it everything, also while the service is down")
+TEST_CASE("a restarted router is not ready until it has all documents from peers, also while the service is down")
 {
     TestFleet fleet({});
     fleet.publish("a", "1");
@@ -202,10 +203,10 @@
     CHECK(fleet.spread(2).documents().digest() == fleet.serviceDigest());
 }
 
-TEST_CASE("a router that slept is not ready until a peer confirmed what it knows")
+TEST_CASE("a router that was paused is not ready until a peer confirmed its documents")
 {
-    // Symptom: a router answers by a rule that was withdrawn a minute ago. It was paused meanwhile and went on as if no
-    // time had passed. Cause: nothing tells a paused process that what it believes is old but its own clock.
+    // Guards against a router that applies a rule that was withdrawn a minute ago, during a pause of the router. Only
+    // its own clock shows a process after a pause that its state is old.
     TestFleet fleet({});
     fleet.publish("a", "1");
     fleet.run(second * 10);
@@ -224,7 +225,7 @@
     CHECK(routersThatDiffer(fleet) == 0);
 }
 
-TEST_CASE("large sets travel in bounded messages")
+TEST_CASE("large sets are sent in bounded messages")
 {
     TestFleetSettings settings;
     TestFleet fleet(settings);
@@ -247,7 +248,7 @@
     CHECK(largest > settings.spread.pushBytes / 2);
 }
 
-TEST_CASE("what to read: peers first, the list of instances after a random wait, all only when alone")
+TEST_CASE("a router without peers reads nothing at first, the instance list after a random delay, and everything last")
 {
     SpreadSettings settings;
     Spread spread({"r1"}, 3, settings);
--- a/sequoiausher/coordination/spread/testfleet.cpp
+++ b/sequoiausher/coordination/spread/testfleet.cpp
@@ -16,7 +16,7 @@
 constexpr std::int64_t microsPerSecond = 1000000;
 constexpr Millis watchTimeout{20000};
 
-/** A message on its way. */
+/** A message in flight. */
 struct Flight
 {
     Millis at;
@@ -31,7 +31,7 @@
     }
 };
 
-/** What the service gives a router: a part of its history. */
+/** The service's answer to a router: a part of the service's history. */
 struct Answer
 {
     Millis at;
@@ -57,7 +57,7 @@
     std::vector<Flight> waiting;
     std::uint64_t view = 0;
     std::size_t staleRevisions = 0;
-    /** How much of the service's history the running watch has seen, and when it answers with nothing. */
+    /** How much of the service's history the current watch has seen. Without a change the watch ends at watchEnds. */
     std::size_t watched = 0;
     Millis watchEnds;
     bool reading = false;
@@ -199,8 +199,9 @@
     }
 
     /**
-     * One watch at a time: it answers at once with what is new, or at its time-out. Each call takes its share of the
-     * service's rate, so that many readers wait for each other.
+     * Starts a read if the router's watch has an answer. A router has one watch at a time, which answers at once if
+     * there are changes, or else at its timeout. Each call uses part of the service's rate, so many readers wait for
+     * each other.
      */
     void readService(std::size_t number)
     {
@@ -345,7 +346,7 @@
             this->d->answers.pop();
             this->d->answer(answer);
         }
-        // Routers tick one after another, spread over the interval.
+        // The ticks of the routers are distributed over the interval.
         const auto interval = static_cast<std::size_t>(this->d->settings.tickInterval.count);
         for (std::size_t i = static_cast<std::size_t>(this->d->now.count) % interval; i < this->size(); i += interval) {
             this->d->tick(i);
--- a/sequoiausher/coordination/spread/testfleet.h
+++ b/sequoiausher/coordination/spread/testfleet.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// For tests and benches only: routers, each a Membership and a Spread, joined by a network in discrete time that can
-// lose, repeat, delay and reorder messages, and a stand-in for the configuration service. Same seed, same run.
+// For tests and benchmarks only: simulates routers, each with a Membership and a Spread, a network in discrete time
+// that can lose, repeat, delay and reorder messages, and the configuration service. Equal seeds give equal runs.
 //
 //     TestFleet fleet({.routers = 7, .seed = 1});
 //     fleet.publish("rules/fleet", "body");
@@ -24,27 +24,27 @@
     std::uint64_t seed = 1;
     int lossPercent = 0;
     int repeatPercent = 0;
-    /** Up to this is added to each delay at random, which reorders. */
+    /** A random time below this is added to each delay, which reorders messages. */
     Millis jitter{0};
     Millis tickInterval{100};
-    /** One call of the service; a change takes a watch and a read. */
+    /** Delay of one call of the service; a change takes a watch and a read. */
     Millis serviceDelay{2};
-    /** Calls that the service answers; more wait for each other. */
+    /** Calls per second that the service answers; further calls wait. */
     std::int64_t serviceReadsPerSecond = 2000;
     SpreadSettings spread;
     MembershipSettings membership;
-    /** Every router watches the service and none relays: the baseline. */
+    /** Every router watches the service and none relays documents; a baseline for comparison. */
     bool everyoneReads = false;
 };
 
-/** What the run counted. */
+/** Counts of a run. */
 struct TestFleetCounts
 {
     std::uint64_t serviceReads = 0;
     std::uint64_t messages = 0;
-    /** Times a live router's revision of a document fell. */
+    /** How often a running router's revision of a document decreased. */
     std::uint64_t reversions = 0;
-    /** The same for a shadow of each router that keeps whatever it received last. */
+    /** How often it decreased in a shadow of each router that keeps whatever the router received last. */
     std::uint64_t naiveReversions = 0;
 };
 
@@ -61,15 +61,15 @@
     /** Publishes the next revision of name at the service. */
     Revision publish(const std::string &name, const std::string &body, bool deleted = false);
     void setServiceDown(bool down);
-    /** The service shows this router its state of so many revisions ago, and all of it, wanted or not. */
+    /** Makes the service show this router its whole state of so many revisions ago, even documents already known. */
     void setServiceStale(std::size_t router, std::size_t revisionsAgo);
     void learnFromService(std::size_t router, const Document &document);
 
     /** Messages pass only between routers of the same group. All start in group 0. */
     void setGroup(std::size_t router, int group);
-    /** The router handles nothing until then; its messages wait. */
+    /** Pauses the router for span; messages to it wait until then. */
     void pause(std::size_t router, Millis span);
-    /** The router starts anew, with nothing in memory. */
+    /** Restarts the router with empty memory. */
     void restart(std::size_t router);
     void kill(std::size_t router);
 
@@ -80,7 +80,7 @@
     std::uint64_t serviceDigest() const;
     const TestFleetCounts &counts() const;
 
-    /** Called as a router learns a revision that is new to it. */
+    /** Called when a router receives a revision that is new to it. */
     std::function<void(std::size_t, const Document &)> onLearnt;
     /** Called for each message sent. */
     std::function<void(std::size_t, const PeerMessage &)> onSent;
