--- a/sequoiausher/coordination/membership/demandtable.h
+++ b/sequoiausher/coordination/membership/demandtable.h
@@ -7,7 +7,7 @@
 //     demands.setOwn(own);
 //     for (const DemandReport &report : demands.takeDueReports(now, liveRouters)) { ... send to its collector ... }
 //     demands.addReport(now, from, gossip.demands);          // on the collector
-//     gossip.fleetDemands = demands.takeNews(now, count);    // on each router that knows totals
+//     gossip.fleetDemands = demands.takeNews(now, count);    // on each router that has totals
 //     demands.merge(now, gossip.fleetDemands);               // on the receiver
 //
 // Rendezvous hashing assigns each organisation one live router as its collector. The collector adds up the reports of
