--- a/sequoiausher/transport/router/nodemessages.cpp
+++ b/sequoiausher/transport/router/nodemessages.cpp
@@ -28,7 +28,7 @@
     (void)senderIncarnation;
     {
         const std::scoped_lock lock(this->membershipMutex);
-        this->membership.heardFrom(from);
+        this->membership.confirmAlive(from);
     }
     Outbox outbox;
     this->dispatch(from, message, outbox);
@@ -235,7 +235,7 @@
     void heardGossip(const Gossip &gossip) const
     {
         const std::scoped_lock lock(this->self.documentsMutex);
-        this->self.spread.heard(this->now, this->from, gossip, this->outbox);
+        this->self.spread.receiveGossip(this->now, this->from, gossip, this->outbox);
     }
 
     Private &self;
