--- a/lab/bench/oncebench.cpp
+++ b/lab/bench/oncebench.cpp
@@ -259,7 +259,7 @@
         names.push_back(ClaimNetwork::nameOfRouter(i));
     }
     Witness witness(names.front(), ClaimParameters{}, Millis{0});
-    witness.foundEmpty();
+    witness.assumeNoPriorClaims();
     witness.setInstances(Millis{0}, makeInstanceList(names));
     const std::size_t before = mallinfo2().uordblks;
     Outbox outbox;
--- a/lab/bench/slopes/witnessslopes.cpp
+++ b/lab/bench/slopes/witnessslopes.cpp
@@ -28,7 +28,7 @@
 std::unique_ptr<Witness> witness(const std::vector<InstanceId> &instances)
 {
     auto made = std::make_unique<Witness>(instances.front(), ClaimParameters{}, Millis{0});
-    made->foundEmpty();
+    made->assumeNoPriorClaims();
     made->setInstances(Millis{0}, makeInstanceList(instances));
     return made;
 }
--- a/lab/explore/localhistories.cpp
+++ b/lab/explore/localhistories.cpp
@@ -98,7 +98,7 @@
         }
         machine.witness = std::make_unique<Witness>(name, this->setup.parameters, node.input.at);
         if (node.input.kind == InputKind::Start || this->setup.restartedVotesAtOnce) {
-            machine.witness->foundEmpty();
+            machine.witness->assumeNoPriorClaims();
         }
         machine.witness->setInstances(node.input.at, list);
         return machine;
--- a/sequoiausher/coordination/answers/answerpropertytest.cpp
+++ b/sequoiausher/coordination/answers/answerpropertytest.cpp
@@ -2,8 +2,8 @@
 // and lists that differ: whatever a retry is given is the whole answer of its own key, and no key is ever said to be
 // free.
 
-#include "sequoiausher/coordination/answers/answergiver.h"
-#include "sequoiausher/coordination/answers/answertaker.h"
+#include "sequoiausher/coordination/answers/answerreceiver.h"
+#include "sequoiausher/coordination/answers/answersender.h"
 #include "sequoiausher/coordination/answers/holdersearch.h"
 #include "sequoiausher/state/answers/answertable.h"
 
@@ -44,12 +44,12 @@
 };
 
 /** One process; a new one of the same name knows nothing. */
-struct Process : public AnswerSource
+struct Process : public AnswerBodySource
 {
     Process(const AnswerSettings &settings, std::uint64_t handover)
         : table(settings)
-        , taker(TakerSettings{4096, 8192, Millis{2000}})
-        , giver(HandoverSettings{Millis{3000}, 1U << 20U, 256, 4, 2, 8, Millis{100}, 4}, handover, *this)
+        , receiver(AnswerReceiverSettings{4096, 8192, Millis{2000}})
+        , sender(AnswerHandoverSettings{Millis{3000}, 1U << 20U, 256, 4, 2, 8, Millis{100}, 4}, handover, *this)
     {
     }
 
@@ -59,8 +59,8 @@
     }
 
     AnswerTable table;
-    AnswerTaker taker;
-    AnswerGiver giver;
+    AnswerReceiver receiver;
+    AnswerSender sender;
 };
 
 struct Flight
@@ -165,12 +165,12 @@
         Process &process = *to->second;
         Outbox outbox;
         if (const auto *page = std::get_if<AnswerPage>(&flight.out.message)) {
-            process.taker.receive(this->now, flight.from, *page, outbox);
-            for (TakenAnswer &taken : process.taker.takeWhole()) {
+            process.receiver.receive(this->now, flight.from, *page, outbox);
+            for (ReceivedAnswer &taken : process.receiver.takeWholeAnswers()) {
                 process.table.keep(this->now, taken.answer, std::move(taken.body));
             }
         } else if (const auto *ack = std::get_if<AnswerPageAck>(&flight.out.message)) {
-            process.giver.receive(this->now, flight.from, *ack, outbox);
+            process.sender.receive(this->now, flight.from, *ack, outbox);
         }
         this->post(flight.out.to, outbox);
     }
@@ -186,9 +186,9 @@
         for (auto &[name, process] : this->processes) {
             if (process) {
                 Outbox outbox;
-                process->taker.tick(this->now);
+                process->receiver.tick(this->now);
                 process->table.tick(this->now);
-                process->giver.tick(this->now, outbox);
+                process->sender.tick(this->now, outbox);
                 this->post(name, outbox);
             }
         }
@@ -215,15 +215,15 @@
         const Millis begunAt = this->now;
         Process &process = *this->processes[name];
         Outbox outbox;
-        process.giver.begin(this->now, process.table.kept(this->now), this->listOf(name, false), outbox);
+        process.sender.begin(this->now, process.table.kept(this->now), this->listOf(name, false), outbox);
         this->post(name, outbox);
-        while (!process.giver.isDone()) {
+        while (!process.sender.isDone()) {
             if (this->happens(this->faults.deaths)) {
                 this->die(name);
             }
             this->advance();
         }
-        this->left += process.giver.count().left;
+        this->undelivered += process.sender.count().undelivered;
         this->start(name);
         return this->now - begunAt;
     }
@@ -262,7 +262,7 @@
     std::map<InstanceId, std::unique_ptr<Process>> processes;
     std::multimap<Millis, Flight> flights;
     std::vector<Original> originals;
-    std::size_t left = 0;
+    std::size_t undelivered = 0;
 };
 
 /** Each key's retry is given its own whole answer or nothing. @return how many are given nothing. */
@@ -299,7 +299,7 @@
         }
         if (process) {
             RC_ASSERT(process->table.usedBytes() <= network.settings.totalBytes);
-            RC_ASSERT(process->taker.bytesUnderWay() <= 8192U);
+            RC_ASSERT(process->receiver.incompleteBytes() <= 8192U);
         }
     }
 }
@@ -339,7 +339,7 @@
         Network network(faults);
         for (std::size_t i = 0; i < 2 * routerCount; ++i) {
             network.replace(nameOfRouter(i % routerCount));
-            RC_ASSERT(network.left == 0U);
+            RC_ASSERT(network.undelivered == 0U);
             RC_ASSERT(checkRetries(network) == 0U);
         }
         checkKeys(network);
--- a/sequoiausher/coordination/answers/answertaker.cpp
+++ b/sequoiausher/coordination/answers/answerreceiver.cpp
@@ -1,4 +1,4 @@
-#include "sequoiausher/coordination/answers/answertaker.h"
+#include "sequoiausher/coordination/answers/answerreceiver.h"
 
 #include <algorithm>
 #include <compare>
@@ -10,23 +10,23 @@
 namespace {
 
 /** One answer in one hand-over. */
-struct PartialId
+struct PartialAnswerId
 {
     InstanceId from;
     std::uint64_t handover = 0;
     RequestId attempt;
 
-    auto operator<=>(const PartialId &) const = default;
+    auto operator<=>(const PartialAnswerId &) const = default;
 };
 
 /** What has come of it. */
-struct Partial
+struct PartialAnswer
 {
     KeptAnswer answer;
     std::string body;
     /** Whole or dropped: what still comes is known already. */
-    bool settled = false;
-    Millis heardAt;
+    bool closed = false;
+    Millis lastFragmentAt;
 };
 
 bool isSameAnswer(KeptAnswer one, const KeptAnswer &other)
@@ -35,51 +35,51 @@
     return one == other;
 }
 
-bool isWholeByItself(const AnswerFragment &fragment)
+bool isWholeAnswer(const AnswerFragment &fragment)
 {
     return fragment.offset == 0 && fragment.bytes.size() == fragment.answer.length;
 }
 
 } // namespace
 
-class AnswerTaker::Private
+class AnswerReceiver::Private
 {
 public:
-    explicit Private(const TakerSettings &bounds) : settings(bounds)
+    explicit Private(const AnswerReceiverSettings &bounds) : settings(bounds)
     {
     }
 
-    void finish(const KeptAnswer &answer, std::string body)
+    void finishAnswer(const KeptAnswer &answer, std::string body)
     {
         if (isWhole(answer, body)) {
-            this->whole.push_back(TakenAnswer{answer, std::move(body)});
+            this->whole.push_back(ReceivedAnswer{answer, std::move(body)});
         } else {
             ++this->dropped;
         }
     }
 
-    void settle(Partial &partial)
+    void close(PartialAnswer &partial)
     {
-        partial.settled = true;
+        partial.closed = true;
         this->reserved -= partial.answer.length;
         std::string().swap(partial.body);
     }
 
-    void drop(Partial &partial)
+    void drop(PartialAnswer &partial)
     {
         ++this->dropped;
-        this->settle(partial);
+        this->close(partial);
     }
 
     /** The answer of the fragment, begun where this is its first part. */
-    Partial &partialOf(const PartialId &id, const AnswerFragment &fragment)
+    PartialAnswer &findOrCreatePartial(const PartialAnswerId &id, const AnswerFragment &fragment)
     {
-        const auto [found, fresh] = this->partials.try_emplace(id);
-        Partial &partial = found->second;
-        if (fresh) {
+        const auto [found, inserted] = this->partials.try_emplace(id);
+        PartialAnswer &partial = found->second;
+        if (inserted) {
             partial.answer = fragment.answer;
             this->reserved += fragment.answer.length;
-            if (this->reserved > this->settings.bytesUnderWay) {
+            if (this->reserved > this->settings.maxIncompleteBytes) {
                 this->drop(partial);
             }
         }
@@ -87,26 +87,26 @@
     }
 
     /** Whether the fragment need not come again. */
-    bool take(Millis now, const InstanceId &from, std::uint64_t handover, const AnswerFragment &fragment)
+    bool receiveFragment(Millis now, const InstanceId &from, std::uint64_t handover, const AnswerFragment &fragment)
     {
         if (fragment.answer.length > this->settings.bytesPerAnswer) {
             this->dropped += fragment.offset == 0 ? 1 : 0;
             return true;
         }
-        if (isWholeByItself(fragment)) {
-            this->finish(fragment.answer, fragment.bytes);
+        if (isWholeAnswer(fragment)) {
+            this->finishAnswer(fragment.answer, fragment.bytes);
             return true;
         }
-        const PartialId id{from, handover, fragment.answer.attempt};
+        const PartialAnswerId id{from, handover, fragment.answer.attempt};
         if (fragment.offset > 0 && !this->partials.contains(id)) {
             return false;
         }
-        Partial &partial = this->partialOf(id, fragment);
-        partial.heardAt = now;
-        return partial.settled || this->join(partial, fragment);
+        PartialAnswer &partial = this->findOrCreatePartial(id, fragment);
+        partial.lastFragmentAt = now;
+        return partial.closed || this->appendFragment(partial, fragment);
     }
 
-    bool join(Partial &partial, const AnswerFragment &fragment)
+    bool appendFragment(PartialAnswer &partial, const AnswerFragment &fragment)
     {
         if (!isSameAnswer(partial.answer, fragment.answer)) {
             this->drop(partial);
@@ -120,62 +120,62 @@
         if (partial.body.size() >= partial.answer.length) {
             KeptAnswer answer = partial.answer;
             answer.age = fragment.answer.age;
-            this->finish(answer, std::move(partial.body));
-            this->settle(partial);
+            this->finishAnswer(answer, std::move(partial.body));
+            this->close(partial);
         }
         return true;
     }
 
-    TakerSettings settings;
-    std::map<PartialId, Partial> partials;
+    AnswerReceiverSettings settings;
+    std::map<PartialAnswerId, PartialAnswer> partials;
     std::uint64_t reserved = 0;
-    std::vector<TakenAnswer> whole;
+    std::vector<ReceivedAnswer> whole;
     std::uint64_t dropped = 0;
 };
 
-AnswerTaker::AnswerTaker(const TakerSettings &settings) : d(std::make_unique<Private>(settings))
+AnswerReceiver::AnswerReceiver(const AnswerReceiverSettings &settings) : d(std::make_unique<Private>(settings))
 {
 }
 
-AnswerTaker::~AnswerTaker() = default;
+AnswerReceiver::~AnswerReceiver() = default;
 
-void AnswerTaker::receive(Millis now, const InstanceId &from, const AnswerPage &page, Outbox &outbox)
+void AnswerReceiver::receive(Millis now, const InstanceId &from, const AnswerPage &page, Outbox &outbox)
 {
-    bool taken = true;
+    bool allTaken = true;
     for (const AnswerFragment &fragment : page.fragments) {
-        taken = this->d->take(now, from, page.handover, fragment) && taken;
+        allTaken = this->d->receiveFragment(now, from, page.handover, fragment) && allTaken;
     }
-    if (taken) {
+    if (allTaken) {
         outbox.push_back(Outgoing{from, AnswerPageAck{page.handover, page.sequence}});
     }
 }
 
-void AnswerTaker::tick(Millis now)
+void AnswerReceiver::tick(Millis now)
 {
     for (auto each = this->d->partials.begin(); each != this->d->partials.end();) {
-        Partial &partial = each->second;
-        if (now < partial.heardAt + this->d->settings.patience) {
+        PartialAnswer &partial = each->second;
+        if (now < partial.lastFragmentAt + this->d->settings.idleTimeout) {
             ++each;
             continue;
         }
-        if (!partial.settled) {
+        if (!partial.closed) {
             this->d->drop(partial);
         }
         each = this->d->partials.erase(each);
     }
 }
 
-std::vector<TakenAnswer> AnswerTaker::takeWhole()
+std::vector<ReceivedAnswer> AnswerReceiver::takeWholeAnswers()
 {
     return std::exchange(this->d->whole, {});
 }
 
-std::uint64_t AnswerTaker::dropped() const
+std::uint64_t AnswerReceiver::dropped() const
 {
     return this->d->dropped;
 }
 
-std::uint64_t AnswerTaker::bytesUnderWay() const
+std::uint64_t AnswerReceiver::incompleteBytes() const
 {
     return this->d->reserved;
 }
--- a/sequoiausher/coordination/answers/answergiver.cpp
+++ b/sequoiausher/coordination/answers/answersender.cpp
@@ -1,4 +1,4 @@
-#include "sequoiausher/coordination/answers/answergiver.h"
+#include "sequoiausher/coordination/answers/answersender.h"
 
 #include <algorithm>
 #include <deque>
@@ -9,12 +9,12 @@
 namespace {
 
 /** One answer on its way. */
-struct Parcel
+struct AnswerTransfer
 {
     KeptAnswer answer;
     InstanceId to;
     std::uint64_t sent = 0;
-    std::size_t unacknowledged = 0;
+    std::size_t unacknowledgedFragments = 0;
     /** Given, or not to be given any more. */
     bool ended = false;
 };
@@ -24,10 +24,10 @@
 {
     InstanceId to;
     AnswerPage page;
-    /** The parcel of each fragment. */
-    std::vector<std::size_t> parcels;
+    /** The transfer of each fragment. */
+    std::vector<std::size_t> transfers;
     Millis sentAt;
-    int sends = 1;
+    int sendCount = 1;
 };
 
 struct Receiver
@@ -39,10 +39,10 @@
 
 } // namespace
 
-class AnswerGiver::Private
+class AnswerSender::Private
 {
 public:
-    Private(const HandoverSettings &bounds, std::uint64_t number, const AnswerSource &theSource)
+    Private(const AnswerHandoverSettings &bounds, std::uint64_t number, const AnswerBodySource &theSource)
         : settings(bounds)
         , handover(number)
         , source(theSource)
@@ -51,55 +51,56 @@
 
     void assign(std::size_t index)
     {
-        Parcel &parcel = this->parcels[index];
-        const std::optional<InstanceId> to
-            = this->list.names.empty() ? std::nullopt : std::optional(this->list.first(parcel.answer.key, 1).front());
-        parcel.sent = 0;
-        parcel.unacknowledged = 0;
+        AnswerTransfer &transfer = this->transfers[index];
+        const std::optional<InstanceId> to = this->list.names.empty()
+            ? std::nullopt
+            : std::optional(this->list.selectInstances(transfer.answer.key, 1).front());
+        transfer.sent = 0;
+        transfer.unacknowledgedFragments = 0;
         if (!to) {
-            parcel.ended = true;
+            transfer.ended = true;
             return;
         }
-        parcel.to = *to;
+        transfer.to = *to;
         this->receivers[*to].waiting.push_back(index);
     }
 
-    void endIfGiven(Parcel &parcel)
+    void endIfDelivered(AnswerTransfer &transfer)
     {
-        if (!parcel.ended && parcel.unacknowledged == 0 && parcel.sent == parcel.answer.length) {
-            parcel.ended = true;
-            ++this->given;
+        if (!transfer.ended && transfer.unacknowledgedFragments == 0 && transfer.sent == transfer.answer.length) {
+            transfer.ended = true;
+            ++this->delivered;
         }
     }
 
-    /** Adds the next fragment of the receiver's first parcel. False where the answer is kept no more. */
+    /** Adds the next fragment of the receiver's first transfer. False where the answer is kept no more. */
     bool addFragment(Millis now, std::size_t index, std::size_t room, SentPage &sent)
     {
-        Parcel &parcel = this->parcels[index];
-        const std::uint64_t left = parcel.answer.length - parcel.sent;
+        AnswerTransfer &transfer = this->transfers[index];
+        const std::uint64_t left = transfer.answer.length - transfer.sent;
         const std::size_t wanted = static_cast<std::size_t>(std::min<std::uint64_t>(left, room));
-        std::string bytes = this->source.bytesOf(parcel.answer.attempt, parcel.sent, wanted);
+        std::string bytes = this->source.bytesOf(transfer.answer.attempt, transfer.sent, wanted);
         if (bytes.size() != wanted) {
-            parcel.ended = true;
+            transfer.ended = true;
             return false;
         }
-        AnswerFragment fragment{parcel.answer, parcel.sent, std::move(bytes)};
-        fragment.answer.age = parcel.answer.age + (now - this->begunAt);
-        parcel.sent += wanted;
-        ++parcel.unacknowledged;
+        AnswerFragment fragment{transfer.answer, transfer.sent, std::move(bytes)};
+        fragment.answer.age = transfer.answer.age + (now - this->begunAt);
+        transfer.sent += wanted;
+        ++transfer.unacknowledgedFragments;
         sent.page.fragments.push_back(std::move(fragment));
-        sent.parcels.push_back(index);
+        sent.transfers.push_back(index);
         return true;
     }
 
     void fillPage(Millis now, Receiver &receiver, SentPage &sent)
     {
         std::size_t room = this->settings.pageBytes;
-        while (!receiver.waiting.empty() && room > 0 && sent.parcels.size() < this->settings.pageFragments) {
+        while (!receiver.waiting.empty() && room > 0 && sent.transfers.size() < this->settings.pageFragments) {
             const std::size_t index = receiver.waiting.front();
             const bool added = this->addFragment(now, index, room, sent);
-            const Parcel &parcel = this->parcels[index];
-            if (!added || parcel.sent == parcel.answer.length) {
+            const AnswerTransfer &transfer = this->transfers[index];
+            if (!added || transfer.sent == transfer.answer.length) {
                 receiver.waiting.pop_front();
             }
             room -= added ? sent.page.fragments.back().bytes.size() : 0;
@@ -119,7 +120,7 @@
         sent.sentAt = now;
         sent.page.handover = this->handover;
         this->fillPage(now, receiver, sent);
-        if (sent.parcels.empty()) {
+        if (sent.transfers.empty()) {
             return false;
         }
         sent.page.sequence = ++this->lastSequence;
@@ -130,7 +131,7 @@
     }
 
     /** One page to each receiver in turn, so that none waits until another has everything. */
-    void sendMore(Millis now, Outbox &outbox)
+    void sendPages(Millis now, Outbox &outbox)
     {
         bool sent = true;
         while (sent) {
@@ -141,7 +142,7 @@
         }
     }
 
-    void lose(const InstanceId &peer)
+    void removeReceiver(const InstanceId &peer)
     {
         const auto lost = this->receivers.find(peer);
         std::vector<InstanceId> names = this->list.names;
@@ -152,8 +153,8 @@
         }
         this->receivers.erase(lost);
         std::erase_if(this->pages, [&](const auto &entry) { return entry.second.to == peer; });
-        for (std::size_t i = 0; i < this->parcels.size(); ++i) {
-            if (!this->parcels[i].ended && this->parcels[i].to == peer) {
+        for (std::size_t i = 0; i < this->transfers.size(); ++i) {
+            if (!this->transfers[i].ended && this->transfers[i].to == peer) {
                 this->assign(i);
             }
         }
@@ -163,13 +164,13 @@
     std::optional<InstanceId> resend(Millis now, Outbox &outbox)
     {
         for (auto &[sequence, sent] : this->pages) {
-            if (now < sent.sentAt + this->settings.resendAfter) {
+            if (now < sent.sentAt + this->settings.resendDelay) {
                 continue;
             }
-            if (sent.sends >= this->settings.sendsPerPage) {
+            if (sent.sendCount >= this->settings.maxSendsPerPage) {
                 return sent.to;
             }
-            ++sent.sends;
+            ++sent.sendCount;
             sent.sentAt = now;
             outbox.push_back(Outgoing{sent.to, sent.page});
         }
@@ -180,102 +181,104 @@
     {
         this->pages.clear();
         this->receivers.clear();
-        for (Parcel &parcel : this->parcels) {
-            parcel.ended = true;
+        for (AnswerTransfer &transfer : this->transfers) {
+            transfer.ended = true;
         }
     }
 
-    HandoverSettings settings;
+    AnswerHandoverSettings settings;
     std::uint64_t handover;
-    const AnswerSource &source;
+    const AnswerBodySource &source;
     InstanceList list;
     Millis begunAt;
-    std::vector<Parcel> parcels;
+    std::vector<AnswerTransfer> transfers;
     std::map<InstanceId, Receiver> receivers;
     std::map<std::uint64_t, SentPage> pages;
     std::uint64_t lastSequence = 0;
-    std::size_t given = 0;
+    std::size_t delivered = 0;
     std::size_t total = 0;
 };
 
-AnswerGiver::AnswerGiver(const HandoverSettings &settings, std::uint64_t handover, const AnswerSource &source)
+AnswerSender::AnswerSender(const AnswerHandoverSettings &settings,
+                           std::uint64_t handover,
+                           const AnswerBodySource &source)
     : d(std::make_unique<Private>(settings, handover, source))
 {
 }
 
-AnswerGiver::~AnswerGiver() = default;
+AnswerSender::~AnswerSender() = default;
 
-void AnswerGiver::begin(Millis now,
-                        const std::vector<KeptAnswer> &answers,
-                        const InstanceList &receivers,
-                        Outbox &outbox)
+void AnswerSender::begin(Millis now,
+                         const std::vector<KeptAnswer> &answers,
+                         const InstanceList &receivers,
+                         Outbox &outbox)
 {
     this->d->begunAt = now;
     this->d->list = receivers;
     this->d->total = answers.size();
-    if (this->d->settings.time <= Millis{0}) {
+    if (this->d->settings.timeLimit <= Millis{0}) {
         return;
     }
     std::uint64_t bytes = 0;
     for (const KeptAnswer &answer : answers) {
         bytes += answer.length;
-        if (bytes > this->d->settings.bytes) {
+        if (bytes > this->d->settings.maxTotalBytes) {
             break;
         }
-        this->d->parcels.push_back(Parcel{answer, {}, 0, 0, false});
-        this->d->assign(this->d->parcels.size() - 1);
+        this->d->transfers.push_back(AnswerTransfer{answer, {}, 0, 0, false});
+        this->d->assign(this->d->transfers.size() - 1);
     }
-    this->d->sendMore(now, outbox);
+    this->d->sendPages(now, outbox);
 }
 
-void AnswerGiver::receive(Millis now, const InstanceId &from, const AnswerPageAck &ack, Outbox &outbox)
+void AnswerSender::receive(Millis now, const InstanceId &from, const AnswerPageAck &ack, Outbox &outbox)
 {
     const auto found = this->d->pages.find(ack.sequence);
     if (ack.handover != this->d->handover || found == this->d->pages.end() || found->second.to != from) {
         return;
     }
-    for (const std::size_t index : found->second.parcels) {
-        Parcel &parcel = this->d->parcels[index];
-        --parcel.unacknowledged;
-        this->d->endIfGiven(parcel);
+    for (const std::size_t index : found->second.transfers) {
+        AnswerTransfer &transfer = this->d->transfers[index];
+        --transfer.unacknowledgedFragments;
+        this->d->endIfDelivered(transfer);
     }
     this->d->pages.erase(found);
     --this->d->receivers[from].pages;
-    this->d->sendMore(now, outbox);
+    this->d->sendPages(now, outbox);
 }
 
-void AnswerGiver::peerLost(Millis now, const InstanceId &peer, Outbox &outbox)
+void AnswerSender::peerLost(Millis now, const InstanceId &peer, Outbox &outbox)
 {
-    this->d->lose(peer);
-    this->d->sendMore(now, outbox);
+    this->d->removeReceiver(peer);
+    this->d->sendPages(now, outbox);
 }
 
-void AnswerGiver::tick(Millis now, Outbox &outbox)
+void AnswerSender::tick(Millis now, Outbox &outbox)
 {
     if (this->isDone()) {
         return;
     }
-    if (now >= this->d->begunAt + this->d->settings.time) {
+    if (now >= this->d->begunAt + this->d->settings.timeLimit) {
         this->d->giveUp();
         return;
     }
     while (const std::optional<InstanceId> silent = this->d->resend(now, outbox)) {
-        this->d->lose(*silent);
+        this->d->removeReceiver(*silent);
     }
-    this->d->sendMore(now, outbox);
+    this->d->sendPages(now, outbox);
 }
 
-bool AnswerGiver::isDone() const
+bool AnswerSender::isDone() const
 {
     const auto &receivers = this->d->receivers;
-    const bool waits = std::any_of(
+    const bool hasWaiting = std::any_of(
         receivers.begin(), receivers.end(), [](const auto &entry) { return !entry.second.waiting.empty(); });
-    return !waits && this->d->pages.empty();
+    return !hasWaiting && this->d->pages.empty();
 }
 
-HandoverCount AnswerGiver::count() const
+AnswerHandoverCount AnswerSender::count() const
 {
-    return HandoverCount{this->d->given, this->d->total - this->d->given};
+    return AnswerHandoverCount{this->d->delivered, this->d->total - this->d->delivered};
 }
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/answers/answergiver.h
+++ b/sequoiausher/coordination/answers/answersender.h
@@ -3,7 +3,7 @@
 // Hands the kept answers of a router that stops to those that stay: each to the first of them by rendezvous of its key,
 // the last ended first, in pages of bounded size of which few are on their way at a time.
 //
-//     AnswerGiver giver(settings, handover, source);
+//     AnswerSender giver(settings, handover, source);
 //     giver.begin(now, table.kept(now), makeInstanceList(liveOthers), outbox);
 //     ... giver.receive(now, from, ack, outbox); giver.tick(now, outbox); until giver.isDone()
 //
@@ -20,12 +20,12 @@
 namespace Sequoiausher {
 
 /** Bounds of a hand-over. */
-struct HandoverSettings
+struct AnswerHandoverSettings
 {
     /** How long it may take; zero for no hand-over. */
-    Millis time{5000};
+    Millis timeLimit{5000};
     /** Bodies handed over, in bytes; what is older stays behind. */
-    std::uint64_t bytes = std::uint64_t{64} << 20U;
+    std::uint64_t maxTotalBytes = std::uint64_t{64} << 20U;
     /** Bodies in one page, in bytes, and answers. */
     std::size_t pageBytes = std::size_t{32} << 10U;
     std::size_t pageFragments = 64;
@@ -33,40 +33,40 @@
     std::size_t pagesPerReceiver = 8;
     std::size_t pagesInFlight = 64;
     /** When a page that is not acknowledged comes again, and how often it is sent before its receiver is left out. */
-    Millis resendAfter{250};
-    int sendsPerPage = 4;
+    Millis resendDelay{250};
+    int maxSendsPerPage = 4;
 };
 
 /** Where the giver reads the bodies. */
-class AnswerSource
+class AnswerBodySource
 {
 public:
-    virtual ~AnswerSource() = default;
+    virtual ~AnswerBodySource() = default;
 
     /** Up to maxBytes of the answer's body from offset on; empty where it is kept no more. */
     virtual std::string bytesOf(const RequestId &attempt, std::uint64_t offset, std::size_t maxBytes) const = 0;
 };
 
 /** What came of a hand-over, in answers. */
-struct HandoverCount
+struct AnswerHandoverCount
 {
     /** Acknowledged whole by a receiver. */
-    std::size_t given = 0;
+    std::size_t delivered = 0;
     /** Not given: for want of time, bytes or receivers, or because they were kept no more. */
-    std::size_t left = 0;
+    std::size_t undelivered = 0;
 
-    bool operator==(const HandoverCount &) const = default;
+    bool operator==(const AnswerHandoverCount &) const = default;
 };
 
 /** One hand-over. A plain state machine; not thread-safe. */
-class AnswerGiver
+class AnswerSender
 {
 public:
     /** @param handover unique to this life of the router. @param source outlives the giver. */
-    AnswerGiver(const HandoverSettings &settings, std::uint64_t handover, const AnswerSource &source);
-    ~AnswerGiver();
-    AnswerGiver(const AnswerGiver &) = delete;
-    AnswerGiver &operator=(const AnswerGiver &) = delete;
+    AnswerSender(const AnswerHandoverSettings &settings, std::uint64_t handover, const AnswerBodySource &source);
+    ~AnswerSender();
+    AnswerSender(const AnswerSender &) = delete;
+    AnswerSender &operator=(const AnswerSender &) = delete;
 
     /** @param answers the most wanted first. @param receivers who stays, without this router. Once at most. */
     void begin(Millis now, const std::vector<KeptAnswer> &answers, const InstanceList &receivers, Outbox &outbox);
@@ -79,7 +79,7 @@
     /** Nothing is left to be sent or acknowledged; true before begin. */
     bool isDone() const;
     /** Final once isDone. */
-    HandoverCount count() const;
+    AnswerHandoverCount count() const;
 
 private:
     class Private;
--- a/sequoiausher/coordination/answers/answergivertest.cpp
+++ b/sequoiausher/coordination/answers/answersendertest.cpp
@@ -1,4 +1,4 @@
-#include "sequoiausher/coordination/answers/answergiver.h"
+#include "sequoiausher/coordination/answers/answersender.h"
 
 #include <doctest/doctest.h>
 
@@ -12,10 +12,10 @@
 constexpr std::uint64_t handover = 5;
 const InstanceId one{"r1"};
 const InstanceId two{"r2"};
-const HandoverSettings small{Millis{1000}, 1000, 10, 3, 2, 3, Millis{100}, 3};
+const AnswerHandoverSettings small{Millis{1000}, 1000, 10, 3, 2, 3, Millis{100}, 3};
 
 /** Bodies by attempt. */
-class Bodies : public AnswerSource
+class Bodies : public AnswerBodySource
 {
 public:
     std::string bytesOf(const RequestId &attempt, std::uint64_t offset, std::size_t maxBytes) const override
@@ -47,7 +47,7 @@
 }
 
 /** Acknowledges all that was sent until nothing comes any more; gives every page. */
-std::vector<AnswerPage> acknowledgeAll(AnswerGiver &giver, Millis now, Outbox outbox)
+std::vector<AnswerPage> acknowledgeAll(AnswerSender &sender, Millis now, Outbox outbox)
 {
     std::vector<AnswerPage> all;
     while (!outbox.empty()) {
@@ -55,7 +55,7 @@
         for (const Outgoing &out : outbox) {
             const auto &page = std::get<AnswerPage>(out.message);
             all.push_back(page);
-            giver.receive(now, out.to, AnswerPageAck{page.handover, page.sequence}, next);
+            sender.receive(now, out.to, AnswerPageAck{page.handover, page.sequence}, next);
         }
         outbox = std::move(next);
     }
@@ -72,15 +72,15 @@
         answers.push_back(bodies.add(i, std::string(4 * i, 'x')));
     }
     answers.push_back(bodies.add(6, ""));
-    AnswerGiver giver(small, handover, bodies);
-    CHECK(giver.isDone());
+    AnswerSender sender(small, handover, bodies);
+    CHECK(sender.isDone());
     Outbox outbox;
-    giver.begin(Millis{0}, answers, makeInstanceList({one}), outbox);
+    sender.begin(Millis{0}, answers, makeInstanceList({one}), outbox);
     CHECK(outbox.size() == small.pagesPerReceiver);
-    CHECK(!giver.isDone());
+    CHECK(!sender.isDone());
     std::map<RequestId, std::string> got;
     std::vector<RequestId> order;
-    for (const AnswerPage &page : acknowledgeAll(giver, Millis{10}, outbox)) {
+    for (const AnswerPage &page : acknowledgeAll(sender, Millis{10}, outbox)) {
         std::size_t bytes = 0;
         for (const AnswerFragment &fragment : page.fragments) {
             CHECK(fragment.offset == got[fragment.answer.attempt].size());
@@ -96,8 +96,8 @@
     }
     CHECK(got == bodies.bodies);
     CHECK(order == std::vector<RequestId>{{0, 1}, {0, 2}, {0, 3}, {0, 4}, {0, 5}, {0, 6}});
-    CHECK(giver.isDone());
-    CHECK(giver.count() == HandoverCount{6, 0});
+    CHECK(sender.isDone());
+    CHECK(sender.count() == AnswerHandoverCount{6, 0});
 }
 
 TEST_CASE("each answer goes to the first by rendezvous, and ages on its way")
@@ -109,20 +109,20 @@
         answers.push_back(bodies.add(i, "abc"));
         answers.back().age = Millis{50};
     }
-    AnswerGiver giver(small, handover, bodies);
+    AnswerSender sender(small, handover, bodies);
     Outbox outbox;
-    giver.begin(Millis{0}, answers, list, outbox);
+    sender.begin(Millis{0}, answers, list, outbox);
     std::set<RequestId> seen;
     while (!outbox.empty()) {
         Outbox next;
         for (const Outgoing &out : outbox) {
             const auto &page = std::get<AnswerPage>(out.message);
             for (const AnswerFragment &fragment : page.fragments) {
-                CHECK(out.to == list.first(fragment.answer.key, 1).front());
+                CHECK(out.to == list.selectInstances(fragment.answer.key, 1).front());
                 CHECK(fragment.answer.age >= Millis{50});
                 seen.insert(fragment.answer.attempt);
             }
-            giver.receive(Millis{30}, out.to, AnswerPageAck{page.handover, page.sequence}, next);
+            sender.receive(Millis{30}, out.to, AnswerPageAck{page.handover, page.sequence}, next);
             for (const Outgoing &more : next) {
                 CHECK(std::get<AnswerPage>(more.message).fragments.front().answer.age == Millis{80});
             }
@@ -136,19 +136,19 @@
 {
     Bodies bodies;
     Outbox outbox;
-    AnswerGiver nothing(small, handover, bodies);
+    AnswerSender nothing(small, handover, bodies);
     nothing.begin(Millis{0}, {}, makeInstanceList({one}), outbox);
     CHECK(nothing.isDone());
-    AnswerGiver toNobody(small, handover, bodies);
+    AnswerSender toNobody(small, handover, bodies);
     toNobody.begin(Millis{0}, {bodies.add(1, "abc")}, makeInstanceList({}), outbox);
     CHECK(toNobody.isDone());
-    CHECK(toNobody.count() == HandoverCount{0, 1});
-    HandoverSettings never = small;
-    never.time = Millis{0};
-    AnswerGiver inNoTime(never, handover, bodies);
+    CHECK(toNobody.count() == AnswerHandoverCount{0, 1});
+    AnswerHandoverSettings never = small;
+    never.timeLimit = Millis{0};
+    AnswerSender inNoTime(never, handover, bodies);
     inNoTime.begin(Millis{0}, {bodies.add(1, "abc")}, makeInstanceList({one}), outbox);
     CHECK(inNoTime.isDone());
-    CHECK(inNoTime.count() == HandoverCount{0, 1});
+    CHECK(inNoTime.count() == AnswerHandoverCount{0, 1});
     CHECK(outbox.empty());
 }
 
@@ -157,70 +157,70 @@
 {
     Bodies bodies;
     const std::vector<KeptAnswer> answers{bodies.add(1, std::string(25, 'a')), bodies.add(2, "bb")};
-    AnswerGiver giver(small, handover, bodies);
+    AnswerSender sender(small, handover, bodies);
     Outbox outbox;
-    giver.begin(Millis{0}, answers, makeInstanceList({one}), outbox);
+    sender.begin(Millis{0}, answers, makeInstanceList({one}), outbox);
     const std::vector<AnswerPage> pages = pagesTo(one, outbox);
     REQUIRE(pages.size() == 2);
     outbox.clear();
     SUBCASE("a page is lost: it comes again, the same")
     {
-        giver.receive(Millis{10}, one, AnswerPageAck{handover, pages[1].sequence}, outbox);
+        sender.receive(Millis{10}, one, AnswerPageAck{handover, pages[1].sequence}, outbox);
         const std::vector<AnswerPage> third = pagesTo(one, outbox);
         REQUIRE(third.size() == 1);
         outbox.clear();
-        giver.tick(Millis{99}, outbox);
+        sender.tick(Millis{99}, outbox);
         CHECK(outbox.empty());
-        giver.tick(Millis{100}, outbox);
+        sender.tick(Millis{100}, outbox);
         CHECK(pagesTo(one, outbox) == std::vector{pages[0]});
-        giver.receive(Millis{101}, one, AnswerPageAck{handover, pages[0].sequence}, outbox);
-        giver.receive(Millis{101}, one, AnswerPageAck{handover, third[0].sequence}, outbox);
-        CHECK(giver.isDone());
-        CHECK(giver.count() == HandoverCount{2, 0});
+        sender.receive(Millis{101}, one, AnswerPageAck{handover, pages[0].sequence}, outbox);
+        sender.receive(Millis{101}, one, AnswerPageAck{handover, third[0].sequence}, outbox);
+        CHECK(sender.isDone());
+        CHECK(sender.count() == AnswerHandoverCount{2, 0});
     }
     SUBCASE("an acknowledgement comes twice, from another router, of another hand-over: only the first counts")
     {
-        giver.receive(Millis{10}, two, AnswerPageAck{handover, pages[0].sequence}, outbox);
-        giver.receive(Millis{10}, one, AnswerPageAck{handover + 1, pages[0].sequence}, outbox);
-        giver.receive(Millis{10}, one, AnswerPageAck{handover, 999}, outbox);
+        sender.receive(Millis{10}, two, AnswerPageAck{handover, pages[0].sequence}, outbox);
+        sender.receive(Millis{10}, one, AnswerPageAck{handover + 1, pages[0].sequence}, outbox);
+        sender.receive(Millis{10}, one, AnswerPageAck{handover, 999}, outbox);
         CHECK(outbox.empty());
-        giver.receive(Millis{10}, one, AnswerPageAck{handover, pages[0].sequence}, outbox);
+        sender.receive(Millis{10}, one, AnswerPageAck{handover, pages[0].sequence}, outbox);
         CHECK(outbox.size() == 1);
-        giver.receive(Millis{10}, one, AnswerPageAck{handover, pages[0].sequence}, outbox);
+        sender.receive(Millis{10}, one, AnswerPageAck{handover, pages[0].sequence}, outbox);
         CHECK(outbox.size() == 1);
-        CHECK(giver.count().given == 0);
+        CHECK(sender.count().delivered == 0);
     }
     SUBCASE("the only receiver is lost: the rest stays behind and nobody waits")
     {
-        giver.peerLost(Millis{10}, one, outbox);
-        CHECK(giver.isDone());
-        CHECK(giver.count() == HandoverCount{0, 2});
+        sender.peerLost(Millis{10}, one, outbox);
+        CHECK(sender.isDone());
+        CHECK(sender.count() == AnswerHandoverCount{0, 2});
     }
     SUBCASE("the receiver is silent: it is left out after its last sending")
     {
         for (const std::int64_t at : {100, 200, 300}) {
-            giver.tick(Millis{at}, outbox);
+            sender.tick(Millis{at}, outbox);
         }
-        CHECK(outbox.size() == 2 * static_cast<std::size_t>(small.sendsPerPage - 1));
-        CHECK(giver.isDone());
+        CHECK(outbox.size() == 2 * static_cast<std::size_t>(small.maxSendsPerPage - 1));
+        CHECK(sender.isDone());
     }
     SUBCASE("the time is over")
     {
-        giver.tick(small.time, outbox);
+        sender.tick(small.timeLimit, outbox);
         CHECK(outbox.empty());
-        CHECK(giver.isDone());
-        CHECK(giver.count() == HandoverCount{0, 2});
-        giver.receive(small.time, one, AnswerPageAck{handover, pages[0].sequence}, outbox);
+        CHECK(sender.isDone());
+        CHECK(sender.count() == AnswerHandoverCount{0, 2});
+        sender.receive(small.timeLimit, one, AnswerPageAck{handover, pages[0].sequence}, outbox);
         CHECK(outbox.empty());
     }
     SUBCASE("the answer is kept no more when its second half is to go: the receiver never gets a whole one")
     {
         bodies.bodies.erase(RequestId{0, 1});
-        giver.receive(Millis{10}, one, AnswerPageAck{handover, pages[0].sequence}, outbox);
-        giver.receive(Millis{10}, one, AnswerPageAck{handover, pages[1].sequence}, outbox);
-        acknowledgeAll(giver, Millis{10}, outbox);
-        CHECK(giver.isDone());
-        CHECK(giver.count() == HandoverCount{1, 1});
+        sender.receive(Millis{10}, one, AnswerPageAck{handover, pages[0].sequence}, outbox);
+        sender.receive(Millis{10}, one, AnswerPageAck{handover, pages[1].sequence}, outbox);
+        acknowledgeAll(sender, Millis{10}, outbox);
+        CHECK(sender.isDone());
+        CHECK(sender.count() == AnswerHandoverCount{1, 1});
     }
 }
 
@@ -233,22 +233,22 @@
     std::vector<KeptAnswer> answers;
     for (std::uint64_t i = 1; answers.size() < 4; ++i) {
         const KeptAnswer answer = bodies.add(i, std::string(15, 'x'));
-        if (list.first(answer.key, 1).front() == one) {
+        if (list.selectInstances(answer.key, 1).front() == one) {
             answers.push_back(answer);
         }
     }
-    AnswerGiver giver(small, handover, bodies);
+    AnswerSender sender(small, handover, bodies);
     Outbox outbox;
-    giver.begin(Millis{0}, answers, list, outbox);
+    sender.begin(Millis{0}, answers, list, outbox);
     REQUIRE(pagesTo(one, outbox).size() == 2);
     const AnswerPage firstPage = pagesTo(one, outbox)[0];
     outbox.clear();
-    giver.receive(Millis{5}, one, AnswerPageAck{handover, firstPage.sequence}, outbox);
+    sender.receive(Millis{5}, one, AnswerPageAck{handover, firstPage.sequence}, outbox);
     outbox.clear();
-    giver.peerLost(Millis{10}, one, outbox);
+    sender.peerLost(Millis{10}, one, outbox);
     CHECK(pagesTo(one, outbox).empty());
     std::map<RequestId, std::string> got;
-    for (const AnswerPage &page : acknowledgeAll(giver, Millis{20}, outbox)) {
+    for (const AnswerPage &page : acknowledgeAll(sender, Millis{20}, outbox)) {
         for (const AnswerFragment &fragment : page.fragments) {
             got[fragment.answer.attempt] += fragment.bytes;
         }
@@ -257,20 +257,20 @@
     for (const auto &[attempt, body] : got) {
         CHECK(body == bodies.bodies[attempt]);
     }
-    CHECK(giver.count() == HandoverCount{4, 0});
+    CHECK(sender.count() == AnswerHandoverCount{4, 0});
 }
 
 TEST_CASE("beyond the bytes of a hand-over the older answers stay behind")
 {
     Bodies bodies;
-    HandoverSettings few = small;
-    few.bytes = 7;
+    AnswerHandoverSettings few = small;
+    few.maxTotalBytes = 7;
     const std::vector<KeptAnswer> answers{bodies.add(1, "abc"), bodies.add(2, "abcd"), bodies.add(3, "a")};
-    AnswerGiver giver(few, handover, bodies);
+    AnswerSender sender(few, handover, bodies);
     Outbox outbox;
-    giver.begin(Millis{0}, answers, makeInstanceList({one}), outbox);
-    acknowledgeAll(giver, Millis{1}, outbox);
-    CHECK(giver.count() == HandoverCount{2, 1});
+    sender.begin(Millis{0}, answers, makeInstanceList({one}), outbox);
+    acknowledgeAll(sender, Millis{1}, outbox);
+    CHECK(sender.count() == AnswerHandoverCount{2, 1});
 }
 
 TEST_CASE("pages on their way to all receivers together are bounded")
@@ -284,10 +284,10 @@
     for (std::uint64_t i = 1; i <= 50; ++i) {
         answers.push_back(bodies.add(i, "abcdefghij"));
     }
-    AnswerGiver giver(small, handover, bodies);
+    AnswerSender sender(small, handover, bodies);
     Outbox outbox;
-    giver.begin(Millis{0}, answers, makeInstanceList(names), outbox);
+    sender.begin(Millis{0}, answers, makeInstanceList(names), outbox);
     CHECK(outbox.size() == small.pagesInFlight);
-    acknowledgeAll(giver, Millis{1}, outbox);
-    CHECK(giver.count() == HandoverCount{50, 0});
+    acknowledgeAll(sender, Millis{1}, outbox);
+    CHECK(sender.count() == AnswerHandoverCount{50, 0});
 }
--- a/sequoiausher/coordination/answers/holdersearch.cpp
+++ b/sequoiausher/coordination/answers/holdersearch.cpp
@@ -6,7 +6,7 @@
 
 std::optional<InstanceId> successorFor(const InstanceList &list, const ClaimKey &key)
 {
-    const std::vector<InstanceId> first = list.first(key, 1);
+    const std::vector<InstanceId> first = list.selectInstances(key, 1);
     return first.empty() ? std::nullopt : std::optional(first.front());
 }
 
@@ -15,9 +15,9 @@
     this->claimHolder = holder;
     this->asked = 0;
     // One more, since the holder may be among them.
-    this->order = reachable.first(key, successorsAsked + 1);
+    this->order = reachable.selectInstances(key, maxSuccessors + 1);
     std::erase(this->order, holder);
-    this->order.resize(std::min(this->order.size(), successorsAsked));
+    this->order.resize(std::min(this->order.size(), maxSuccessors));
     const bool first = reachable.contains(holder);
     this->order.insert(first ? this->order.begin() : this->order.end(), holder);
 }
@@ -30,7 +30,7 @@
     return this->order[this->asked++];
 }
 
-bool HolderSearch::asksHolder() const
+bool HolderSearch::isLastAskedHolder() const
 {
     return this->asked > 0 && this->order[this->asked - 1] == this->claimHolder;
 }
--- a/sequoiausher/coordination/answers/holdersearch.h
+++ b/sequoiausher/coordination/answers/holdersearch.h
@@ -12,7 +12,7 @@
 // A router that stops gives each kept answer to the first of the live routers by rendezvous of the key, so no message
 // is needed to say where an answer went: whoever looks for it computes the same order. An answer that moved on is with
 // a router that was first when its last keeper stopped, of those that were live then. So it is found unless more than
-// successorsAsked - 1 of the routers before it were missing then: leaving themselves, or not on the keeper's list.
+// maxSuccessors - 1 of the routers before it were missing then: leaving themselves, or not on the keeper's list.
 
 #include "sequoiausher/base/identifiers.h"
 #include "sequoiausher/coordination/claims/instancelist.h"
@@ -23,7 +23,7 @@
 namespace Sequoiausher {
 
 /** How many routers are asked beside the holder. */
-inline constexpr std::size_t successorsAsked = 3;
+inline constexpr std::size_t maxSuccessors = 3;
 
 /** The router of list that takes the answer of key over; std::nullopt where the list is empty. */
 std::optional<InstanceId> successorFor(const InstanceList &list, const ClaimKey &key);
@@ -40,7 +40,7 @@
      * Whether the one asked last is the holder. Only the holder may say that an attempt did not run: another router
      * knows what was handed to it and nothing else, so its word must never free the key.
      */
-    bool asksHolder() const;
+    bool isLastAskedHolder() const;
 
 private:
     InstanceId claimHolder;
--- a/sequoiausher/coordination/answers/holdersearchtest.cpp
+++ b/sequoiausher/coordination/answers/holdersearchtest.cpp
@@ -32,7 +32,7 @@
     search.begin(key, holder, reachable);
     std::vector<InstanceId> asked;
     while (const auto next = search.next()) {
-        CHECK(search.asksHolder() == (*next == holder));
+        CHECK(search.isLastAskedHolder() == (*next == holder));
         asked.push_back(*next);
     }
     return asked;
@@ -47,11 +47,11 @@
 
 TEST_CASE("the holder is asked first while it answers, and each router once")
 {
-    const std::vector<InstanceId> ranked = without({}).first(key, 7);
+    const std::vector<InstanceId> ranked = without({}).selectInstances(key, 7);
     for (std::size_t rank = 0; rank < ranked.size(); ++rank) {
         CAPTURE(rank);
         const std::vector<InstanceId> asked = allAsked(ranked[rank], without({}));
-        REQUIRE(asked.size() == 1 + successorsAsked);
+        REQUIRE(asked.size() == 1 + maxSuccessors);
         CHECK(asked.front() == ranked[rank]);
         for (std::size_t i = 1; i < asked.size(); ++i) {
             CHECK(asked[i] == ranked[rank <= i - 1 ? i : i - 1]);
@@ -61,9 +61,9 @@
 
 TEST_CASE("a holder that does not answer is asked last")
 {
-    const std::vector<InstanceId> ranked = without({}).first(key, 7);
+    const std::vector<InstanceId> ranked = without({}).selectInstances(key, 7);
     const std::vector<InstanceId> asked = allAsked(ranked[0], without({ranked[0]}));
-    REQUIRE(asked.size() == 1 + successorsAsked);
+    REQUIRE(asked.size() == 1 + maxSuccessors);
     CHECK(asked.front() == ranked[1]);
     CHECK(asked.back() == ranked[0]);
 }
@@ -99,7 +99,7 @@
 TEST_CASE("it is found where the lists of the one that gives and the one that asks differ by two")
 {
     const std::vector<InstanceId> names = routers();
-    const std::vector<InstanceId> ranked = without({}).first(key, names.size());
+    const std::vector<InstanceId> ranked = without({}).selectInstances(key, names.size());
     for (const InstanceId &holder : names) {
         for (const InstanceId &first : names) {
             for (const InstanceId &second : names) {
--- a/sequoiausher/coordination/claims/ballot.cpp
+++ b/sequoiausher/coordination/claims/ballot.cpp
@@ -59,7 +59,7 @@
     std::fill(this->votes.begin(), this->votes.end(), std::nullopt);
 }
 
-void Ballot::reopenHeld()
+void Ballot::clearRivalVotes()
 {
     for (std::optional<ClaimVote> &vote : this->votes) {
         if (vote && namesRival(*vote)) {
@@ -68,7 +68,7 @@
     }
 }
 
-std::vector<InstanceId> Ballot::notGranted() const
+std::vector<InstanceId> Ballot::witnessesWithoutGrant() const
 {
     std::vector<InstanceId> names;
     for (std::size_t i = 0; i < this->members.size(); ++i) {
@@ -79,7 +79,7 @@
     return names;
 }
 
-std::vector<InstanceId> Ballot::mayHaveRecorded() const
+std::vector<InstanceId> Ballot::witnessesThatMayHaveRecorded() const
 {
     std::vector<InstanceId> names;
     for (std::size_t i = 0; i < this->members.size(); ++i) {
@@ -90,7 +90,7 @@
     return names;
 }
 
-std::vector<InstanceId> Ballot::haveRecorded() const
+std::vector<InstanceId> Ballot::witnessesThatRecorded() const
 {
     std::vector<InstanceId> names;
     for (std::size_t i = 0; i < this->members.size(); ++i) {
@@ -101,12 +101,12 @@
     return names;
 }
 
-VoteCount Ballot::count() const
+VoteCount Ballot::countVotes() const
 {
     VoteCount count;
     for (const std::optional<ClaimVote> &vote : this->votes) {
         if (!vote) {
-            ++count.open;
+            ++count.unanswered;
         } else if (vote->verdict == ClaimVerdict::Granted) {
             ++count.granted;
         } else if (vote->verdict == ClaimVerdict::Abstains) {
@@ -121,7 +121,7 @@
     return count;
 }
 
-bool Ballot::isReachable(const VoteCount &count) const
+bool Ballot::isQuorumReachable(const VoteCount &count) const
 {
     return this->members.size() - count.abstained >= this->needed;
 }
--- a/sequoiausher/coordination/claims/ballot.h
+++ b/sequoiausher/coordination/claims/ballot.h
@@ -4,7 +4,7 @@
 //
 //     Ballot ballot(witnesses, 4);
 //     ballot.record("r2", vote);
-//     if (ballot.count().granted >= ballot.quorum()) { ... }
+//     if (ballot.countVotes().granted >= ballot.quorum()) { ... }
 
 #include "sequoiausher/base/identifiers.h"
 #include "sequoiausher/coordination/messages/claimmessages.h"
@@ -29,7 +29,7 @@
     std::size_t granted = 0;
     std::size_t abstained = 0;
     /** Asked and not yet answered. */
-    std::size_t open = 0;
+    std::size_t unanswered = 0;
     /** Most votes first. */
     std::vector<Rival> rivals;
 };
@@ -49,17 +49,17 @@
     /** Forgets every vote. */
     void clear();
     /** Forgets the refusals for another attempt's sake, to ask those witnesses again. */
-    void reopenHeld();
+    void clearRivalVotes();
     /** Witnesses that have not granted. */
-    std::vector<InstanceId> notGranted() const;
+    std::vector<InstanceId> witnessesWithoutGrant() const;
     /** Witnesses that did not name another attempt: they may have recorded this one. */
-    std::vector<InstanceId> mayHaveRecorded() const;
+    std::vector<InstanceId> witnessesThatMayHaveRecorded() const;
     /** Those of them that have voted: they granted, or withheld their vote and remember the claim all the same. */
-    std::vector<InstanceId> haveRecorded() const;
+    std::vector<InstanceId> witnessesThatRecorded() const;
 
-    VoteCount count() const;
+    VoteCount countVotes() const;
     /** Whether the quorum could be reached if every rival withdrew and every open witness granted. */
-    bool isReachable(const VoteCount &count) const;
+    bool isQuorumReachable(const VoteCount &count) const;
     /** When enough of those that abstained expect to vote; zero where they are not what is missing. */
     Millis retryAfter() const;
 
--- a/sequoiausher/coordination/claims/claimant.cpp
+++ b/sequoiausher/coordination/claims/claimant.cpp
@@ -17,9 +17,9 @@
 /** How often an attempt asks anew after it gave way to a smaller one. */
 constexpr std::uint32_t maxRounds = 4;
 /** How often the smaller attempt asks again while a larger one does not give way. */
-constexpr int maxStays = 8;
+constexpr int maxContentionRetries = 8;
 /** How often a withdrawal is repeated, since it is not acknowledged. */
-constexpr int withdrawalRepeats = 3;
+constexpr int maxWithdrawalRepeats = 3;
 /** Renewals of a running claim within one lifetime. */
 constexpr std::int64_t renewalsPerLifetime = 4;
 
@@ -39,15 +39,15 @@
         this->timers.insert(Timer{at, attempt.claim.attempt});
     }
 
-    void enter(Attempt &attempt, Phase phase)
+    void setPhase(Attempt &attempt, Phase phase)
     {
         if (isActive(attempt.phase) && !isActive(phase)) {
-            this->release(attempt.claim.key);
+            this->removeRunning(attempt.claim.key);
         }
         attempt.phase = phase;
     }
 
-    void release(const ClaimKey &key)
+    void removeRunning(const ClaimKey &key)
     {
         const auto found = this->running.find(key);
         if (found != this->running.end() && --found->second == 0) {
@@ -55,7 +55,7 @@
         }
     }
 
-    void ask(const Attempt &attempt, const std::vector<InstanceId> &witnesses, Outbox &outbox) const
+    void sendRequests(const Attempt &attempt, const std::vector<InstanceId> &witnesses, Outbox &outbox) const
     {
         const Claim &claim = attempt.claim;
         for (const InstanceId &witness : witnesses) {
@@ -73,23 +73,23 @@
 
     void startRound(Millis now, Attempt &attempt, Outbox &outbox)
     {
-        this->enter(attempt, Phase::Asking);
+        this->setPhase(attempt, Phase::Asking);
         attempt.ballot.clear();
-        attempt.stays = 0;
+        attempt.contentionRetries = 0;
         // Counted from before the questions leave: every vote of this round is younger.
         attempt.dispatchBy = now + this->parameters.dispatchWindow;
-        this->ask(attempt, attempt.ballot.witnesses(), outbox);
+        this->sendRequests(attempt, attempt.ballot.witnesses(), outbox);
         this->setTimer(attempt, std::min(now + this->parameters.retryDelay, attempt.giveUpAt));
     }
 
     void evaluate(Millis now, Attempt &attempt, Outbox &outbox)
     {
-        const VoteCount count = attempt.ballot.count();
+        const VoteCount count = attempt.ballot.countVotes();
         if (count.granted >= attempt.ballot.quorum()) {
             this->acquire(now, attempt, outbox);
         } else if (now >= attempt.giveUpAt) {
             this->conclude(now, attempt, count, outbox);
-        } else if (count.granted + count.open < attempt.ballot.quorum()) {
+        } else if (count.granted + count.unanswered < attempt.ballot.quorum()) {
             this->resolve(now, attempt, count, outbox);
         }
     }
@@ -99,13 +99,13 @@
         // A process that paused while the votes came in must not act on them: the witnesses may forget them before
         // it has dispatched. One would notice two runs of one key, minutes apart.
         if (now >= attempt.dispatchBy) {
-            this->giveBack(now, attempt, attempt.ballot.witnesses(), outbox);
-            this->refuse(attempt);
+            this->withdrawAttempt(now, attempt, attempt.ballot.witnesses(), outbox);
+            this->reportNoQuorum(attempt);
             return;
         }
-        this->enter(attempt, Phase::Acquired);
+        this->setPhase(attempt, Phase::Acquired);
         this->setTimer(attempt, attempt.dispatchBy);
-        ClaimOutcome outcome = this->outcomeOf(attempt, ClaimOutcomeKind::Acquired);
+        ClaimOutcome outcome = this->makeOutcome(attempt, ClaimOutcomeKind::Acquired);
         outcome.dispatchBy = attempt.dispatchBy;
         this->outcomes.push_back(std::move(outcome));
     }
@@ -114,19 +114,19 @@
     void resolve(Millis now, Attempt &attempt, const VoteCount &count, Outbox &outbox)
     {
         const std::size_t mostVotes = count.rivals.empty() ? 0 : count.rivals.front().votes;
-        const bool isCertain = mostVotes >= attempt.ballot.quorum();
-        if (!isCertain && mostVotes > 0 && mostVotes + count.open >= attempt.ballot.quorum()) {
+        const bool rivalHasQuorum = mostVotes >= attempt.ballot.quorum();
+        if (!rivalHasQuorum && mostVotes > 0 && mostVotes + count.unanswered >= attempt.ballot.quorum()) {
             return; // The votes to come may show that the rival has won.
         }
-        const bool isHopeless = isCertain || count.rivals.empty() || !attempt.ballot.isReachable(count);
-        const bool givesWay = this->hasSmallerRival(attempt, count);
-        if (isHopeless || (!givesWay && attempt.stays >= maxStays)) {
+        const bool cannotAcquire = rivalHasQuorum || count.rivals.empty() || !attempt.ballot.isQuorumReachable(count);
+        const bool mustBackOff = this->hasSmallerRival(attempt, count);
+        if (cannotAcquire || (!mustBackOff && attempt.contentionRetries >= maxContentionRetries)) {
             this->conclude(now, attempt, count, outbox);
-        } else if (givesWay) {
+        } else if (mustBackOff) {
             this->backOff(now, attempt, count, outbox);
         } else {
-            const Millis askAgain = now + this->parameters.contentionDelay;
-            this->setTimer(attempt, std::min({askAgain, attempt.timer, attempt.giveUpAt}));
+            const Millis retryAt = now + this->parameters.contentionDelay;
+            this->setTimer(attempt, std::min({retryAt, attempt.timer, attempt.giveUpAt}));
         }
     }
 
@@ -143,8 +143,8 @@
             this->conclude(now, attempt, count, outbox);
             return;
         }
-        this->sendWithdrawal(attempt, attempt.ballot.mayHaveRecorded(), outbox);
-        this->enter(attempt, Phase::BackingOff);
+        this->sendWithdrawal(attempt, attempt.ballot.witnessesThatMayHaveRecorded(), outbox);
+        this->setPhase(attempt, Phase::BackingOff);
         const std::int64_t delay = this->parameters.contentionDelay.count;
         const auto spread = static_cast<std::int64_t>(attempt.claim.attempt.low % static_cast<std::uint64_t>(delay));
         const Millis wait{delay * (attempt.round + 1) + spread};
@@ -155,29 +155,32 @@
     {
         // Who holds the key at a quorum left this attempt a stray vote at most. Were it not withdrawn, that witness
         // would name this attempt to a retry once others are replaced. A vote still to come is answered when it does.
-        const bool isCertain = !count.rivals.empty() && count.rivals.front().votes >= attempt.ballot.quorum();
-        this->giveBack(
-            now, attempt, isCertain ? attempt.ballot.haveRecorded() : attempt.ballot.mayHaveRecorded(), outbox);
+        const bool rivalHasQuorum = !count.rivals.empty() && count.rivals.front().votes >= attempt.ballot.quorum();
+        this->withdrawAttempt(now,
+                              attempt,
+                              rivalHasQuorum ? attempt.ballot.witnessesThatRecorded()
+                                             : attempt.ballot.witnessesThatMayHaveRecorded(),
+                              outbox);
         if (count.rivals.empty()) {
-            this->refuse(attempt);
+            this->reportNoQuorum(attempt);
             return;
         }
         const Rival &rival = count.rivals.front();
         const auto kind = rival.bodyDiffers ? ClaimOutcomeKind::BodyDiffers : ClaimOutcomeKind::HeldBy;
-        ClaimOutcome outcome = this->outcomeOf(attempt, kind);
+        ClaimOutcome outcome = this->makeOutcome(attempt, kind);
         outcome.holder = rival.holder;
         outcome.heldBy = rival.attempt;
         this->outcomes.push_back(std::move(outcome));
     }
 
-    void refuse(const Attempt &attempt)
+    void reportNoQuorum(const Attempt &attempt)
     {
-        ClaimOutcome outcome = this->outcomeOf(attempt, ClaimOutcomeKind::NoQuorum);
+        ClaimOutcome outcome = this->makeOutcome(attempt, ClaimOutcomeKind::NoQuorum);
         outcome.retryAfter = std::max(this->parameters.retryAfter, attempt.ballot.retryAfter());
         this->outcomes.push_back(std::move(outcome));
     }
 
-    ClaimOutcome outcomeOf(const Attempt &attempt, ClaimOutcomeKind kind) const
+    ClaimOutcome makeOutcome(const Attempt &attempt, ClaimOutcomeKind kind) const
     {
         ClaimOutcome outcome;
         outcome.kind = kind;
@@ -186,12 +189,12 @@
         return outcome;
     }
 
-    void giveBack(Millis now, Attempt &attempt, const std::vector<InstanceId> &witnesses, Outbox &outbox)
+    void withdrawAttempt(Millis now, Attempt &attempt, const std::vector<InstanceId> &witnesses, Outbox &outbox)
     {
         this->sendWithdrawal(attempt, witnesses, outbox);
-        this->enter(attempt, Phase::Withdrawn);
+        this->setPhase(attempt, Phase::Withdrawn);
         attempt.withdrawnAt = now;
-        attempt.repeats = witnesses.empty() ? withdrawalRepeats : 0;
+        attempt.repeatsSent = witnesses.empty() ? maxWithdrawalRepeats : 0;
         this->setTimer(attempt, now + this->parameters.retryDelay);
     }
 
@@ -199,27 +202,27 @@
     {
         switch (attempt.phase) {
         case Phase::Asking:
-            this->askAgain(now, attempt, outbox);
+            this->retryRequests(now, attempt, outbox);
             break;
         case Phase::BackingOff:
-            this->nextRound(now, attempt, outbox);
+            this->startNextRound(now, attempt, outbox);
             break;
         case Phase::Acquired:
             // Not dispatched in time: mayDispatch refuses it from now on, so the key can be given back.
-            this->giveBack(now, attempt, attempt.ballot.witnesses(), outbox);
+            this->withdrawAttempt(now, attempt, attempt.ballot.witnesses(), outbox);
             break;
         case Phase::Dispatched:
             this->renew(now, attempt, outbox);
             break;
         case Phase::Withdrawn:
-            this->repeatOrForget(now, attempt, outbox);
+            this->repeatWithdrawalOrForget(now, attempt, outbox);
             break;
         }
     }
 
-    void askAgain(Millis now, Attempt &attempt, Outbox &outbox)
+    void retryRequests(Millis now, Attempt &attempt, Outbox &outbox)
     {
-        const VoteCount count = attempt.ballot.count();
+        const VoteCount count = attempt.ballot.countVotes();
         if (now >= attempt.giveUpAt) {
             this->evaluate(now, attempt, outbox);
             return;
@@ -232,20 +235,20 @@
         }
         Millis next = now + this->parameters.retryDelay;
         if (!count.rivals.empty()) {
-            ++attempt.stays;
+            ++attempt.contentionRetries;
             next = now + this->parameters.contentionDelay;
-            if (attempt.stays <= maxStays) {
-                attempt.ballot.reopenHeld();
+            if (attempt.contentionRetries <= maxContentionRetries) {
+                attempt.ballot.clearRivalVotes();
             }
         }
-        this->ask(attempt, attempt.ballot.notGranted(), outbox);
+        this->sendRequests(attempt, attempt.ballot.witnessesWithoutGrant(), outbox);
         this->setTimer(attempt, std::min(next, attempt.giveUpAt));
     }
 
-    void nextRound(Millis now, Attempt &attempt, Outbox &outbox)
+    void startNextRound(Millis now, Attempt &attempt, Outbox &outbox)
     {
         if (now >= attempt.giveUpAt) {
-            this->conclude(now, attempt, attempt.ballot.count(), outbox);
+            this->conclude(now, attempt, attempt.ballot.countVotes(), outbox);
             return;
         }
         ++attempt.round;
@@ -255,16 +258,16 @@
     void renew(Millis now, Attempt &attempt, Outbox &outbox)
     {
         const std::size_t witnesses = this->parameters.quorumFor(this->list.names.size()).witnesses;
-        this->ask(attempt, this->list.first(attempt.claim.key, witnesses), outbox);
+        this->sendRequests(attempt, this->list.selectInstances(attempt.claim.key, witnesses), outbox);
         this->setTimer(attempt, now + this->parameters.lifetime / renewalsPerLifetime);
     }
 
-    void repeatOrForget(Millis now, Attempt &attempt, Outbox &outbox)
+    void repeatWithdrawalOrForget(Millis now, Attempt &attempt, Outbox &outbox)
     {
-        if (attempt.repeats < withdrawalRepeats) {
-            ++attempt.repeats;
+        if (attempt.repeatsSent < maxWithdrawalRepeats) {
+            ++attempt.repeatsSent;
             this->sendWithdrawal(attempt, attempt.ballot.witnesses(), outbox);
-            const std::int64_t factor = std::int64_t{1} << (2 * attempt.repeats);
+            const std::int64_t factor = std::int64_t{1} << (2 * attempt.repeatsSent);
             this->setTimer(attempt, now + this->parameters.retryDelay * factor);
             return;
         }
@@ -322,7 +325,7 @@
     Attempt &attempt = this->d->attempts[claim.attempt];
     attempt.claim = claim;
     attempt.round = round;
-    attempt.ballot = Ballot(this->d->list.first(claim.key, quorum.witnesses), quorum.quorum);
+    attempt.ballot = Ballot(this->d->list.selectInstances(claim.key, quorum.witnesses), quorum.quorum);
     attempt.giveUpAt = now + this->d->parameters.claimTimeout;
     ++this->d->running[claim.key];
     this->d->startRound(now, attempt, outbox);
@@ -335,8 +338,8 @@
     if (attempt == nullptr || attempt->claim.key != vote.key) {
         return;
     }
-    const bool isPast = vote.round < attempt->round || attempt->phase == Phase::BackingOff;
-    if (attempt->phase == Phase::Withdrawn || (isPast && vote.round <= attempt->round)) {
+    const bool isOldRound = vote.round < attempt->round || attempt->phase == Phase::BackingOff;
+    if (attempt->phase == Phase::Withdrawn || (isOldRound && vote.round <= attempt->round)) {
         // The withdrawal was lost or overtaken: without another the key would stay blocked until it expires. A witness
         // that abstains remembers the claim too, and would later name this attempt as the holder.
         if (vote.verdict == ClaimVerdict::Granted || vote.verdict == ClaimVerdict::Abstains) {
@@ -372,7 +375,7 @@
         return false;
     }
     Attempt *attempt = this->d->find(id);
-    this->d->enter(*attempt, Phase::Dispatched);
+    this->d->setPhase(*attempt, Phase::Dispatched);
     this->d->setTimer(*attempt, now + this->d->parameters.lifetime / renewalsPerLifetime);
     return true;
 }
@@ -393,7 +396,7 @@
 {
     Attempt *attempt = this->d->find(id);
     if (attempt != nullptr && isActive(attempt->phase)) {
-        this->d->giveBack(now, *attempt, attempt->ballot.witnesses(), outbox);
+        this->d->withdrawAttempt(now, *attempt, attempt->ballot.witnesses(), outbox);
     }
 }
 
@@ -407,13 +410,13 @@
     return true;
 }
 
-void Claimant::finished(const RequestId &id)
+void Claimant::finishAttempt(const RequestId &id)
 {
     Attempt *attempt = this->d->find(id);
     if (attempt == nullptr || attempt->phase != Phase::Dispatched) {
         return;
     }
-    this->d->release(attempt->claim.key);
+    this->d->removeRunning(attempt->claim.key);
     this->d->forget(*attempt);
 }
 
--- a/sequoiausher/coordination/claims/claimant.h
+++ b/sequoiausher/coordination/claims/claimant.h
@@ -135,7 +135,7 @@
      * run longer than that; the key stays claimed for lifetime from the dispatch on, and for at least three quarters
      * of lifetime from the end on. No message is sent for it: most answers end long before a renewal would.
      */
-    void finished(const RequestId &attempt);
+    void finishAttempt(const RequestId &attempt);
 
     /** Whether an attempt of key is claimed, acquired or dispatched here; its retry joins it without a claim. */
     bool isRunning(const ClaimKey &key) const;
--- a/sequoiausher/coordination/claims/claimanttest.cpp
+++ b/sequoiausher/coordination/claims/claimanttest.cpp
@@ -84,7 +84,7 @@
     CHECK(f.claimant.isRunning(key));
     CHECK(f.claimant.mayDispatch(mine, start + Millis{4}));
     CHECK_FALSE(f.claimant.mayDispatch(mine, start + Millis{4}));
-    f.claimant.finished(mine);
+    f.claimant.finishAttempt(mine);
     CHECK_FALSE(f.claimant.isRunning(key));
     CHECK(f.claimant.size() == 0);
 }
--- a/sequoiausher/coordination/claims/claimattempt.h
+++ b/sequoiausher/coordination/claims/claimattempt.h
@@ -32,8 +32,8 @@
     Millis giveUpAt;
     Millis timer;
     Millis withdrawnAt;
-    int stays = 0;
-    int repeats = 0;
+    int contentionRetries = 0;
+    int repeatsSent = 0;
 };
 
 /** When an attempt next has work. */
--- a/sequoiausher/coordination/claims/claimdifferentialtest.cpp
+++ b/sequoiausher/coordination/claims/claimdifferentialtest.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /** What the all-seeing map knows of a key. */
-struct Known
+struct KnownClaim
 {
     RequestId attempt;
     std::uint64_t bodyDigest = 0;
@@ -21,10 +21,10 @@
 };
 
 /** Decides each call at once and remembers it for lifetime. */
-class AllSeeing
+class ReferenceClaims
 {
 public:
-    explicit AllSeeing(Millis time) : lifetime(time)
+    explicit ReferenceClaims(Millis time) : lifetime(time)
     {
     }
 
@@ -32,20 +32,20 @@
     {
         const auto found = this->known.find(key);
         if (found == this->known.end() || now >= found->second.until) {
-            this->known[key] = Known{attempt, digest, now + this->lifetime};
+            this->known[key] = KnownClaim{attempt, digest, now + this->lifetime};
             return ClaimOutcomeKind::Acquired;
         }
         return found->second.bodyDigest == digest ? ClaimOutcomeKind::HeldBy : ClaimOutcomeKind::BodyDiffers;
     }
 
-    const Known &of(const ClaimKey &key)
+    const KnownClaim &knownClaim(const ClaimKey &key)
     {
         return this->known[key];
     }
 
 private:
     Millis lifetime;
-    std::map<ClaimKey, Known> known;
+    std::map<ClaimKey, KnownClaim> known;
 };
 
 } // namespace
@@ -61,7 +61,7 @@
         settings.parameters.lifetime = Millis{30000};
         settings.runTime = Millis{1};
         ClaimNetwork network(settings);
-        AllSeeing naive(settings.parameters.lifetime);
+        ReferenceClaims reference(settings.parameters.lifetime);
         constexpr int calls = 20;
         for (int i = 0; i < calls; ++i) {
             const ClaimKey key{0, below(4)};
@@ -72,10 +72,10 @@
             network.run(at + Millis{200});
             RC_ASSERT(network.ends().size() == ended + 1);
             const ClaimOutcome &outcome = network.ends().back().outcome;
-            const ClaimOutcomeKind expected = naive.call(at, key, attempt, digest);
+            const ClaimOutcomeKind expected = reference.call(at, key, attempt, digest);
             RC_ASSERT(outcome.kind == expected);
             if (expected != ClaimOutcomeKind::Acquired) {
-                RC_ASSERT(outcome.heldBy == naive.of(key).attempt);
+                RC_ASSERT(outcome.heldBy == reference.knownClaim(key).attempt);
             }
             // Soon, or surely after the key is forgotten: between lies the dispatch window, where both are right.
             network.run(network.now() + (below(6) == 0 ? Millis{40000} : Millis{below(500) == 0 ? 1 : 2}));
--- a/sequoiausher/coordination/claims/claimnetwork.cpp
+++ b/sequoiausher/coordination/claims/claimnetwork.cpp
@@ -20,7 +20,7 @@
     std::unique_ptr<Witness> witness;
     InstanceList list;
     /** Grows with each process, so that what was meant for an earlier one is dropped. */
-    int life = 0;
+    int incarnation = 0;
     bool up = false;
     Millis pausedUntil;
     Millis wakeAt = Millis::never();
@@ -48,14 +48,14 @@
     {
     }
 
-    std::int64_t between(std::int64_t low, std::int64_t high)
+    std::int64_t randomBetween(std::int64_t low, std::int64_t high)
     {
         return std::uniform_int_distribution<std::int64_t>(low, high)(this->random);
     }
 
-    bool chance(int share)
+    bool drawChance(int share)
     {
-        return share > 0 && this->between(0, perMille - 1) < share;
+        return share > 0 && this->randomBetween(0, perMille - 1) < share;
     }
 
     void schedule(Millis at, std::function<void()> action)
@@ -64,41 +64,41 @@
     }
 
     /** Runs action in the process that is there now, after its pause if it has one; never in a later process. */
-    void inProcess(std::size_t router, Millis at, std::function<void(Node &)> action)
+    void runInProcess(std::size_t router, Millis at, std::function<void(Node &)> action)
     {
-        const int life = this->nodes[router].life;
-        this->schedule(at, [this, router, life, action = std::move(action)]() {
+        const int incarnation = this->nodes[router].incarnation;
+        this->schedule(at, [this, router, incarnation, action = std::move(action)]() {
             Node &node = this->nodes[router];
-            if (!node.up || node.life != life) {
+            if (!node.up || node.incarnation != incarnation) {
                 return;
             }
             if (node.pausedUntil > this->now) {
-                this->inProcess(router, node.pausedUntil, action);
+                this->runInProcess(router, node.pausedUntil, action);
                 return;
             }
             action(node);
-            this->afterStep(router);
+            this->finishStep(router);
         });
     }
 
     void start(std::size_t router, bool first)
     {
         Node &node = this->nodes[router];
-        ++node.life;
+        ++node.incarnation;
         node.up = true;
         node.pausedUntil = this->now;
         node.wakeAt = Millis::never();
         node.claimant = std::make_unique<Claimant>(node.name, this->settings.parameters);
         node.witness = std::make_unique<Witness>(node.name, this->settings.parameters, this->now);
-        if (first ? this->settings.foundedEmpty : this->settings.restartedVotesAtOnce) {
-            node.witness->foundEmpty();
+        if (first ? this->settings.assumeNoPriorClaimsAtStart : this->settings.restartedVotesAtOnce) {
+            node.witness->assumeNoPriorClaims();
         }
         node.claimant->setInstances(node.list);
         node.witness->setInstances(this->now, node.list);
-        this->afterStep(router);
+        this->finishStep(router);
     }
 
-    void afterStep(std::size_t router)
+    void finishStep(std::size_t router)
     {
         this->takeOutcomes(router);
         Node &node = this->nodes[router];
@@ -107,7 +107,7 @@
             return;
         }
         node.wakeAt = wake;
-        this->inProcess(router, std::max(wake, this->now), [this, router](Node &awake) {
+        this->runInProcess(router, std::max(wake, this->now), [this, router](Node &awake) {
             awake.wakeAt = Millis::never();
             Outbox outbox;
             awake.claimant->tick(this->now, outbox);
@@ -119,28 +119,28 @@
     void send(std::size_t router, const Outbox &outbox)
     {
         for (const Outgoing &out : outbox) {
-            const std::size_t to = this->numbers.at(out.to);
+            const std::size_t to = this->routerNumbers.at(out.to);
             if (to == router) {
                 this->deliver(router, to, out.message, Millis{0});
                 continue;
             }
             ++this->report.messages;
-            if (this->chance(this->settings.lossPerMille)) {
+            if (this->drawChance(this->settings.lossPerMille)) {
                 continue;
             }
-            this->deliver(router, to, out.message, this->delay());
-            if (this->chance(this->settings.duplicatePerMille)) {
-                this->deliver(router, to, out.message, this->delay());
+            this->deliver(router, to, out.message, this->randomDelay());
+            if (this->drawChance(this->settings.duplicatePerMille)) {
+                this->deliver(router, to, out.message, this->randomDelay());
             }
         }
     }
 
-    Millis delay()
+    Millis randomDelay()
     {
-        if (this->chance(this->settings.slowPerMille)) {
-            return Millis{this->between(0, this->settings.slowDelay.count)};
+        if (this->drawChance(this->settings.slowPerMille)) {
+            return Millis{this->randomBetween(0, this->settings.slowDelay.count)};
         }
-        return Millis{this->between(this->settings.delayMin.count, this->settings.delayMax.count)};
+        return Millis{this->randomBetween(this->settings.delayMin.count, this->settings.delayMax.count)};
     }
 
     void deliver(std::size_t from, std::size_t to, const PeerMessage &message, Millis after)
@@ -149,15 +149,15 @@
             return;
         }
         const InstanceId sender = this->nodes[from].name;
-        this->inProcess(to, this->now + after, [this, to, sender, message](Node &node) {
+        this->runInProcess(to, this->now + after, [this, to, sender, message](Node &node) {
             Outbox outbox;
-            std::visit([&](const auto &content) { this->take(node, sender, content, outbox); }, message);
+            std::visit([&](const auto &content) { this->handleMessage(node, sender, content, outbox); }, message);
             this->send(to, outbox);
         });
     }
 
     template<typename Message>
-    void take(Node &node, const InstanceId &from, const Message &message, Outbox &outbox)
+    void handleMessage(Node &node, const InstanceId &from, const Message &message, Outbox &outbox)
     {
         if constexpr (std::is_same_v<Message, ClaimVote>) {
             node.claimant->receive(this->now, from, message, outbox);
@@ -175,7 +175,7 @@
             this->ends.push_back(AttemptEnd{outcome.attempt, outcome, this->now});
             switch (outcome.kind) {
             case ClaimOutcomeKind::Acquired:
-                this->acquired(router, outcome);
+                this->handleAcquired(router, outcome);
                 break;
             case ClaimOutcomeKind::HeldBy:
                 ++this->report.held;
@@ -185,28 +185,29 @@
                 break;
             case ClaimOutcomeKind::NoQuorum:
                 ++this->report.noQuorum;
-                this->refused(outcome.key, outcome.attempt, false);
+                this->recordRefusal(outcome.key, outcome.attempt, false);
                 break;
             }
         }
     }
 
-    void acquired(std::size_t router, const ClaimOutcome &outcome)
+    void handleAcquired(std::size_t router, const ClaimOutcome &outcome)
     {
         this->report.acquireTimes.push_back(this->now - this->begunAt.at(outcome.attempt));
-        constexpr std::int64_t admissionMost = 5;
-        const Millis admission{this->between(0, admissionMost)};
-        this->inProcess(router, this->now + admission, [this, router, outcome](Node &node) {
+        constexpr std::int64_t maxAdmissionMillis = 5;
+        const Millis admission{this->randomBetween(0, maxAdmissionMillis)};
+        this->runInProcess(router, this->now + admission, [this, router, outcome](Node &node) {
             Outbox outbox;
-            if (this->chance(this->settings.admissionRefusesPerMille)) {
+            if (this->drawChance(this->settings.admissionRefusesPerMille)) {
                 // Told to the client at once, before the key is given back.
-                this->refused(outcome.key, outcome.attempt, node.claimant->isKeyUnrun(outcome.attempt, this->now));
+                this->recordRefusal(
+                    outcome.key, outcome.attempt, node.claimant->isKeyUnrun(outcome.attempt, this->now));
                 node.claimant->withdraw(this->now, outcome.attempt, outbox);
             } else if (node.claimant->mayDispatch(outcome.attempt, this->now)) {
-                this->dispatch(outcome.key, outcome.attempt);
+                this->recordDispatch(outcome.key, outcome.attempt);
                 this->finishLater(router, outcome.attempt);
             } else {
-                this->refused(outcome.key, outcome.attempt, false);
+                this->recordRefusal(outcome.key, outcome.attempt, false);
             }
             this->send(router, outbox);
         });
@@ -214,20 +215,21 @@
 
     void finishLater(std::size_t router, const RequestId &attempt)
     {
-        this->inProcess(
-            router, this->now + this->settings.runTime, [attempt](Node &node) { node.claimant->finished(attempt); });
+        this->runInProcess(router, this->now + this->settings.runTime, [attempt](Node &node) {
+            node.claimant->finishAttempt(attempt);
+        });
     }
 
-    bool ranLately(const ClaimKey &key) const
+    bool ranWithinLifetime(const ClaimKey &key) const
     {
         const auto last = this->lastDispatch.find(key);
         return last != this->lastDispatch.end() && this->now < last->second + this->settings.parameters.lifetime;
     }
 
-    void dispatch(const ClaimKey &key, const RequestId &attempt)
+    void recordDispatch(const ClaimKey &key, const RequestId &attempt)
     {
         ++this->report.dispatched;
-        if (this->ranLately(key)) {
+        if (this->ranWithinLifetime(key)) {
             ++this->report.doubleRuns;
         }
         this->lastDispatch[key] = this->now;
@@ -237,11 +239,11 @@
         }
     }
 
-    void refused(const ClaimKey &key, const RequestId &attempt, bool saysKeyUnrun)
+    void recordRefusal(const ClaimKey &key, const RequestId &attempt, bool assertsKeyUnrun)
     {
         ++this->report.refused;
         this->refusedAttempts.insert(attempt);
-        if (this->dispatchedAttempts.contains(attempt) || (saysKeyUnrun && this->ranLately(key))) {
+        if (this->dispatchedAttempts.contains(attempt) || (assertsKeyUnrun && this->ranWithinLifetime(key))) {
             ++this->report.falseNotRun;
         }
     }
@@ -249,7 +251,7 @@
     NetworkSettings settings;
     std::mt19937_64 random;
     std::vector<Node> nodes;
-    std::unordered_map<InstanceId, std::size_t> numbers;
+    std::unordered_map<InstanceId, std::size_t> routerNumbers;
     std::priority_queue<Event, std::vector<Event>, std::greater<>> events;
     std::uint64_t order = 0;
     Millis now{1000};
@@ -267,7 +269,7 @@
     std::vector<InstanceId> names;
     for (std::size_t i = 0; i < settings.routers; ++i) {
         this->d->nodes[i].name = nameOfRouter(i);
-        this->d->numbers[nameOfRouter(i)] = i;
+        this->d->routerNumbers[nameOfRouter(i)] = i;
         if (i < listed) {
             names.push_back(nameOfRouter(i));
         }
@@ -305,10 +307,10 @@
     ++this->d->report.attempts;
     this->d->begunAt[attempt] = this->d->now;
     if (this->d->settings.withoutClaims) {
-        this->d->dispatch(key, attempt);
+        this->d->recordDispatch(key, attempt);
         return attempt;
     }
-    this->d->inProcess(router, this->d->now, [this, router, key, attempt, bodyDigest](Node &node) {
+    this->d->runInProcess(router, this->d->now, [this, router, key, attempt, bodyDigest](Node &node) {
         Outbox outbox;
         node.claimant->begin(this->d->now, Claim{key, attempt, bodyDigest}, outbox);
         this->d->send(router, outbox);
@@ -319,7 +321,7 @@
 void ClaimNetwork::kill(std::size_t router)
 {
     this->d->nodes[router].up = false;
-    ++this->d->nodes[router].life;
+    ++this->d->nodes[router].incarnation;
 }
 
 void ClaimNetwork::restart(std::size_t router)
@@ -340,7 +342,7 @@
     Node &node = this->d->nodes[router];
     node.list = makeInstanceList(std::move(names));
     if (node.up) {
-        this->d->inProcess(router, this->d->now, [this](Node &reader) {
+        this->d->runInProcess(router, this->d->now, [this](Node &reader) {
             reader.claimant->setInstances(reader.list);
             reader.witness->setInstances(this->d->now, reader.list);
         });
@@ -354,11 +356,11 @@
     }
 }
 
-void ClaimNetwork::leave(std::size_t router)
+void ClaimNetwork::handOverClaims(std::size_t router)
 {
-    this->d->inProcess(router, this->d->now, [this, router](Node &node) {
+    this->d->runInProcess(router, this->d->now, [this, router](Node &node) {
         Outbox outbox;
-        node.witness->leave(this->d->now, outbox);
+        node.witness->handOverClaims(this->d->now, outbox);
         this->d->send(router, outbox);
     });
 }
--- a/sequoiausher/coordination/claims/claimnetwork.h
+++ b/sequoiausher/coordination/claims/claimnetwork.h
@@ -39,7 +39,7 @@
     /** The fault to be caught: a restarted witness votes as if it remembered. */
     bool restartedVotesAtOnce = false;
     /** The witnesses of the first start may vote at once: the fleet is new. */
-    bool foundedEmpty = true;
+    bool assumeNoPriorClaimsAtStart = true;
     /** No claims at all: whoever is called dispatches. A baseline. */
     bool withoutClaims = false;
 };
@@ -98,7 +98,7 @@
     /** Messages pass only between routers of the same number; all the same heals. */
     void split(const std::vector<int> &side);
     /** A planned stop: the witness hands over. */
-    void leave(std::size_t router);
+    void handOverClaims(std::size_t router);
 
     static InstanceId nameOfRouter(std::size_t router);
     const Witness &witness(std::size_t router) const;
--- a/sequoiausher/coordination/claims/claimparameters.cpp
+++ b/sequoiausher/coordination/claims/claimparameters.cpp
@@ -9,23 +9,23 @@
 
 namespace {
 
-[[noreturn]] void refuse(const std::string &reason)
+[[noreturn]] void throwSettingsError(const std::string &reason)
 {
     throw Error(Step::Settings, "claims", reason);
 }
 
-constexpr std::array spans{&ClaimParameters::lifetime,
-                           &ClaimParameters::dispatchWindow,
-                           &ClaimParameters::claimTimeout,
-                           &ClaimParameters::retryDelay,
-                           &ClaimParameters::contentionDelay,
-                           &ClaimParameters::settleTime,
-                           &ClaimParameters::tombstoneLifetime,
-                           &ClaimParameters::retryAfter};
+constexpr std::array durations{&ClaimParameters::lifetime,
+                               &ClaimParameters::dispatchWindow,
+                               &ClaimParameters::claimTimeout,
+                               &ClaimParameters::retryDelay,
+                               &ClaimParameters::contentionDelay,
+                               &ClaimParameters::settleTime,
+                               &ClaimParameters::tombstoneLifetime,
+                               &ClaimParameters::retryAfter};
 
 } // namespace
 
-std::size_t WitnessQuorum::tolerated() const
+std::size_t WitnessQuorum::faultTolerance() const
 {
     const std::size_t twice = 2 * this->quorum;
     return twice > this->witnesses ? twice - this->witnesses - 1 : 0;
@@ -33,22 +33,22 @@
 
 WitnessQuorum::Handover WitnessQuorum::handover() const
 {
-    constexpr std::size_t learnerAndOneThatKnows = 2;
-    if (this->quorum < learnerAndOneThatKnows) {
+    constexpr std::size_t minHandoverMembers = 2;
+    if (this->quorum < minHandoverMembers) {
         return Handover{};
     }
-    const std::size_t spare = this->quorum - learnerAndOneThatKnows;
+    const std::size_t spare = this->quorum - minHandoverMembers;
     return Handover{true, spare - std::min<std::size_t>(spare, 1)};
 }
 
-Millis ClaimParameters::memory() const
+Millis ClaimParameters::claimRetention() const
 {
     return this->lifetime + this->dispatchWindow;
 }
 
-std::size_t ClaimParameters::tolerated() const
+std::size_t ClaimParameters::faultTolerance() const
 {
-    return WitnessQuorum{this->witnesses, this->quorum}.tolerated();
+    return WitnessQuorum{this->witnesses, this->quorum}.faultTolerance();
 }
 
 WitnessQuorum ClaimParameters::quorumFor(std::size_t instances) const
@@ -56,32 +56,32 @@
     if (instances >= this->witnesses) {
         return WitnessQuorum{this->witnesses, this->quorum};
     }
-    const std::size_t strict = (instances + this->tolerated()) / 2 + 1;
-    return WitnessQuorum{instances, std::max<std::size_t>(1, std::min(instances, strict))};
+    const std::size_t toleratingQuorum = (instances + this->faultTolerance()) / 2 + 1;
+    return WitnessQuorum{instances, std::max<std::size_t>(1, std::min(instances, toleratingQuorum))};
 }
 
 void checkClaimParameters(const ClaimParameters &parameters)
 {
     if (parameters.witnesses == 0 || parameters.quorum > parameters.witnesses) {
-        refuse("quorum must be at most witnesses, and witnesses at least 1");
+        throwSettingsError("quorum must be at most witnesses, and witnesses at least 1");
     }
     if (2 * parameters.quorum <= parameters.witnesses) {
-        refuse("two quorums need not meet: 2 * quorum must be larger than witnesses");
+        throwSettingsError("two quorums need not meet: 2 * quorum must be larger than witnesses");
     }
     if (parameters.claimTimeout >= parameters.dispatchWindow) {
-        refuse("claim_timeout_ms must be shorter than dispatch_window_ms");
+        throwSettingsError("claim_timeout_ms must be shorter than dispatch_window_ms");
     }
     if (parameters.settleTime <= parameters.dispatchWindow) {
-        refuse("settle_time_ms must be longer than dispatch_window_ms");
+        throwSettingsError("settle_time_ms must be longer than dispatch_window_ms");
     }
-    constexpr std::int64_t farShorter = 10;
-    if (parameters.dispatchWindow * farShorter > parameters.lifetime) {
-        refuse("dispatch_window_ms must be at most a tenth of lifetime_ms");
+    constexpr std::int64_t minWindowsPerLifetime = 10;
+    if (parameters.dispatchWindow * minWindowsPerLifetime > parameters.lifetime) {
+        throwSettingsError("dispatch_window_ms must be at most a tenth of lifetime_ms");
     }
-    const bool positive
-        = std::all_of(spans.begin(), spans.end(), [&](const auto span) { return parameters.*span > Millis{0}; });
+    const bool positive = std::all_of(
+        durations.begin(), durations.end(), [&](const auto span) { return parameters.*span > Millis{0}; });
     if (!positive || parameters.maxRecords == 0 || parameters.pageRecords == 0) {
-        refuse("every time and bound must be larger than 0");
+        throwSettingsError("every time and bound must be larger than 0");
     }
 }
 
--- a/sequoiausher/coordination/claims/claimparameters.h
+++ b/sequoiausher/coordination/claims/claimparameters.h
@@ -4,7 +4,7 @@
 //
 //     ClaimParameters parameters;             // parseRouterSettings() fills it from [claims]
 //     checkClaimParameters(parameters);
-//     parameters.tolerated();                 // 2
+//     parameters.faultTolerance();                 // 2
 //
 // Two attempts of one key can both reach a quorum only if no witness that voted for the first and remembers it is
 // asked by the second. With witness sets that differ in d members and f voting witnesses that forgot, that is ruled
@@ -25,7 +25,7 @@
     bool operator==(const WitnessQuorum &) const = default;
 
     /** The largest d + f with 2 * quorum > witnesses + d + f. */
-    std::size_t tolerated() const;
+    std::size_t faultTolerance() const;
 
     /**
      * How many of a key's other witnesses may be missing from a hand-over: quorum - 2 - d, with d = 1 where the
@@ -36,7 +36,7 @@
     struct Handover
     {
         bool possible = false;
-        std::size_t mayMiss = 0;
+        std::size_t maxMissing = 0;
     };
     Handover handover() const;
 };
@@ -66,20 +66,20 @@
     std::size_t maxRecords = 400000;
     /** Records in one page of a hand-over. */
     std::size_t pageRecords = 256;
-    /** Where there are more instances to ask, a witness waits for memory() in place of asking. */
-    std::size_t handoverInstances = 64;
+    /** Where there are more instances to ask, a witness waits for claimRetention() in place of asking. */
+    std::size_t maxHandoverInstances = 64;
 
     bool operator==(const ClaimParameters &) const = default;
 
     /** How long a witness remembers: a dispatch may come dispatchWindow after the vote. */
-    Millis memory() const;
+    Millis claimRetention() const;
 
     /** d + f of a fleet that has enough instances. */
-    std::size_t tolerated() const;
+    std::size_t faultTolerance() const;
 
     /**
      * The witnesses and the quorum for a list of instances. With n < witnesses: n witnesses, and
-     * quorum = min(n, floor((n + tolerated) / 2) + 1), the least that tolerates as much, or all of them. An empty
+     * quorum = min(n, floor((n + faultTolerance) / 2) + 1), the least that tolerates as much, or all of them. An empty
      * list has quorum 1 of no witnesses, which is never reached.
      */
     WitnessQuorum quorumFor(std::size_t instances) const;
--- a/sequoiausher/coordination/claims/claimparameterstest.cpp
+++ b/sequoiausher/coordination/claims/claimparameterstest.cpp
@@ -10,8 +10,8 @@
 {
     const ClaimParameters shipped;
     CHECK_NOTHROW(checkClaimParameters(shipped));
-    CHECK(shipped.tolerated() == 2);
-    CHECK(shipped.quorumFor(7).handover().mayMiss == 1);
+    CHECK(shipped.faultTolerance() == 2);
+    CHECK(shipped.quorumFor(7).handover().maxMissing == 1);
     CHECK_FALSE(shipped.quorumFor(1).handover().possible);
 }
 
--- a/sequoiausher/coordination/claims/claimpropertytest.cpp
+++ b/sequoiausher/coordination/claims/claimpropertytest.cpp
@@ -111,7 +111,7 @@
             break;
         case 4:
             if (this->faults.restarts) {
-                this->network.leave(at);
+                this->network.handOverClaims(at);
             }
             break;
         default:
@@ -166,7 +166,7 @@
 }
 
 /** How many of count schedules broke a promise. */
-std::size_t schedulesThatFail(std::uint64_t count, const Faults &faults, const NetworkSettings &settings)
+std::size_t countFailedSchedules(std::uint64_t count, const Faults &faults, const NetworkSettings &settings)
 {
     std::size_t failed = 0;
     for (std::uint64_t seed = 1; seed <= count; ++seed) {
@@ -212,7 +212,7 @@
     NetworkSettings settings = shortNetwork();
     settings.restartedVotesAtOnce = true;
     constexpr std::uint64_t schedules = 300;
-    const std::size_t failed = schedulesThatFail(schedules, Faults{}, settings);
+    const std::size_t failed = countFailedSchedules(schedules, Faults{}, settings);
     MESSAGE("schedules that failed, of 300: ", failed);
     CHECK(failed > 0);
 }
@@ -226,7 +226,7 @@
     Faults faults;
     faults.listDifference = 2;
     constexpr std::uint64_t schedules = 1500;
-    const std::size_t failed = schedulesThatFail(schedules, faults, settings);
+    const std::size_t failed = countFailedSchedules(schedules, faults, settings);
     MESSAGE("schedules that failed, of 1500: ", failed);
     CHECK(failed > 0);
 }
--- a/sequoiausher/coordination/claims/claimscenariotest.cpp
+++ b/sequoiausher/coordination/claims/claimscenariotest.cpp
@@ -73,12 +73,12 @@
     CHECK(network.report().dispatched == keyCount);
     for (std::size_t leaving = 0; leaving < 7; ++leaving) {
         const std::set<std::size_t> listed = range(leaving + 1, leaving + 8);
-        network.leave(leaving);
+        network.handOverClaims(leaving);
         network.restart(leaving + 7);
         setLists(network, listed);
         // It drains for as long as a hand-over takes, then stops.
         network.run(network.now() + Millis{4000});
-        network.leave(leaving);
+        network.handOverClaims(leaving);
         network.run(network.now() + Millis{100});
         network.kill(leaving);
         callKeys(network, listed, 1000 * (leaving + 1), 20);
@@ -108,9 +108,9 @@
     const AttemptEnd last = network.ends().back();
     // The wait is counted from the vote, which took a few milliseconds to arrive.
     const Millis comeBack = last.at + last.outcome.retryAfter;
-    CHECK(comeBack >= restarted + parameters.memory());
-    CHECK(comeBack <= restarted + parameters.memory() + Millis{10});
-    network.run(restarted + parameters.memory());
+    CHECK(comeBack >= restarted + parameters.claimRetention());
+    CHECK(comeBack <= restarted + parameters.claimRetention() + Millis{10});
+    network.run(restarted + parameters.claimRetention());
     callKeys(network, range(0, 7), 0, 10);
     CHECK(network.report().dispatched == 20);
     CHECK(network.report().doubleRuns == 0);
--- a/sequoiausher/coordination/claims/claimstore.cpp
+++ b/sequoiausher/coordination/claims/claimstore.cpp
@@ -32,7 +32,7 @@
 public:
     Millis expiryOf(const Entry &entry) const
     {
-        return entry.recordedAt + (entry.withdrawn ? this->tombstoneLifetime : this->memory);
+        return entry.recordedAt + (entry.withdrawn ? this->tombstoneLifetime : this->claimRetention);
     }
 
     Entry *find(const ClaimKey &key, const RequestId &attempt)
@@ -46,7 +46,7 @@
         return entry == found->second.end() ? nullptr : &*entry;
     }
 
-    std::vector<ClaimRecord> live(Millis now, const std::vector<Entry> &list) const
+    std::vector<ClaimRecord> liveRecords(Millis now, const std::vector<Entry> &list) const
     {
         std::vector<ClaimRecord> records;
         for (const Entry &entry : list) {
@@ -70,26 +70,27 @@
     }
 
     std::size_t maxRecords = 0;
-    Millis memory;
+    Millis claimRetention;
     Millis tombstoneLifetime;
     std::map<ClaimKey, std::vector<Entry>> entries;
     std::set<Expiry> expiries;
     std::size_t count = 0;
 };
 
-ClaimStore::ClaimStore(std::size_t maxRecords, Millis memory, Millis tombstoneLifetime) : d(std::make_unique<Private>())
+ClaimStore::ClaimStore(std::size_t maxRecords, Millis claimRetention, Millis tombstoneLifetime)
+    : d(std::make_unique<Private>())
 {
     this->d->maxRecords = maxRecords;
-    this->d->memory = memory;
+    this->d->claimRetention = claimRetention;
     this->d->tombstoneLifetime = tombstoneLifetime;
 }
 
 ClaimStore::~ClaimStore() = default;
 
-std::vector<ClaimRecord> ClaimStore::claimsOf(Millis now, const ClaimKey &key) const
+std::vector<ClaimRecord> ClaimStore::findClaims(Millis now, const ClaimKey &key) const
 {
     const auto found = this->d->entries.find(key);
-    return found == this->d->entries.end() ? std::vector<ClaimRecord>{} : this->d->live(now, found->second);
+    return found == this->d->entries.end() ? std::vector<ClaimRecord>{} : this->d->liveRecords(now, found->second);
 }
 
 StoreResult ClaimStore::add(Millis now, const ClaimRecord &record)
@@ -134,7 +135,7 @@
 {
     auto at = inclusive ? this->d->entries.lower_bound(from) : this->d->entries.upper_bound(from);
     for (; at != this->d->entries.end(); ++at) {
-        std::vector<ClaimRecord> records = this->d->live(now, at->second);
+        std::vector<ClaimRecord> records = this->d->liveRecords(now, at->second);
         if (!records.empty()) {
             return records;
         }
@@ -152,8 +153,8 @@
             continue;
         }
         std::vector<Entry> &list = found->second;
-        const auto isOver = [&](const Entry &entry) { return this->d->expiryOf(entry) <= now; };
-        this->d->count -= std::erase_if(list, isOver);
+        const auto isExpired = [&](const Entry &entry) { return this->d->expiryOf(entry) <= now; };
+        this->d->count -= std::erase_if(list, isExpired);
         if (list.empty()) {
             this->d->entries.erase(found);
             continue;
--- a/sequoiausher/coordination/claims/claimstore.h
+++ b/sequoiausher/coordination/claims/claimstore.h
@@ -2,9 +2,9 @@
 
 // What one witness remembers: the claims of keys until they expire, and withdrawals for a while.
 //
-//     ClaimStore store(maxRecords, memory, tombstoneLifetime);
+//     ClaimStore store(maxRecords, claimRetention, tombstoneLifetime);
 //     store.add(now, ClaimRecord{key, attempt, 1, bodyDigest, holder, Millis{0}});
-//     store.claimsOf(now, key); // that record
+//     store.findClaims(now, key); // that record
 
 #include "sequoiausher/coordination/messages/claimmessages.h"
 
@@ -27,13 +27,13 @@
 {
 public:
     /** @param maxRecords bound on claims and withdrawals together. */
-    ClaimStore(std::size_t maxRecords, Millis memory, Millis tombstoneLifetime);
+    ClaimStore(std::size_t maxRecords, Millis claimRetention, Millis tombstoneLifetime);
     ~ClaimStore();
     ClaimStore(const ClaimStore &) = delete;
     ClaimStore &operator=(const ClaimStore &) = delete;
 
     /** The claims of key that have not expired, with their ages at now. */
-    std::vector<ClaimRecord> claimsOf(Millis now, const ClaimKey &key) const;
+    std::vector<ClaimRecord> findClaims(Millis now, const ClaimKey &key) const;
 
     /** Remembers record as being record.age old; a known attempt takes the later round and the younger age. */
     StoreResult add(Millis now, const ClaimRecord &record);
--- a/sequoiausher/coordination/claims/handover.cpp
+++ b/sequoiausher/coordination/claims/handover.cpp
@@ -13,24 +13,24 @@
     InstanceList list;
     Millis since;
     /** The witness was on that list. */
-    bool hadSelf = false;
+    bool includedSelf = false;
     /** Hashes of those that were on that list and are not on the present one. */
-    std::vector<std::uint64_t> departed;
+    std::vector<std::uint64_t> departedHashes;
 };
 
 /** How far one instance has handed over. */
 struct Giver
 {
     ClaimKey next;
-    Millis askedAt;
-    bool asked = false;
+    Millis lastPullAt;
+    bool pullSent = false;
     /** Questions since it last helped; each doubles the wait for the next. */
-    int vain = 0;
-    bool answered = false;
+    int pullsWithoutProgress = 0;
+    bool handedOver = false;
     /** It answered while it had no gaps itself. */
-    bool settled = false;
+    bool handedOverWithoutGaps = false;
     /** Its last answer said that it lacks claims itself. */
-    bool lacks = false;
+    bool hasGaps = false;
 };
 
 bool isSubset(const InstanceList &part, const InstanceList &whole)
@@ -45,38 +45,40 @@
 public:
     bool isOpen(const Gap &gap, Millis now) const
     {
-        return now < gap.since + this->parameters.memory();
+        return now < gap.since + this->parameters.claimRetention();
     }
 
-    bool isKnownFrom(const InstanceId &instance, bool fresh) const
+    bool isHandoverComplete(const InstanceId &instance, bool fresh) const
     {
         const auto giver = this->givers.find(instance);
-        return giver != this->givers.end() && (fresh ? giver->second.settled : giver->second.answered);
+        return giver != this->givers.end() && (fresh ? giver->second.handedOverWithoutGaps : giver->second.handedOver);
     }
 
-    /** Whether all of witnesses but mayMiss have handed over; fresh: nothing is known of an earlier life. */
-    bool isLearnt(const std::vector<InstanceId> &witnesses, const WitnessQuorum &quorum, bool fresh) const
+    /** Whether all of witnesses but maxMissing have handed over; fresh: nothing is known of an earlier life. */
+    bool hasEnoughGivers(const std::vector<InstanceId> &witnesses, const WitnessQuorum &quorum, bool fresh) const
     {
         const WitnessQuorum::Handover handover = quorum.handover();
         // Under a list by which it was no witness, the whole quorum was others, so that any quorum can be asked.
         if (fresh && !handover.possible) {
             return false;
         }
-        const auto isMissing
-            = [&](const InstanceId &witness) { return witness != this->self && !this->isKnownFrom(witness, fresh); };
+        const auto isMissing = [&](const InstanceId &witness) {
+            return witness != this->self && !this->isHandoverComplete(witness, fresh);
+        };
         const auto missing = std::count_if(witnesses.begin(), witnesses.end(), isMissing);
-        return static_cast<std::size_t>(missing) <= handover.mayMiss;
+        return static_cast<std::size_t>(missing) <= handover.maxMissing;
     }
 
     /**
      * Whether the witness, which is one of key's by the present list, surely was one by the gap's list: nobody who
      * departed since came before it. Spares the order of a whole list for each gap and vote.
      */
-    bool surelyWasWitness(const Gap &gap, const ClaimKey &key) const
+    bool wasProvablyWitness(const Gap &gap, const ClaimKey &key) const
     {
         const std::uint64_t keyHash = witnessHash(key);
         const std::uint64_t own = rendezvousWeight(hash64(this->self.value), keyHash);
-        return gap.hadSelf && std::all_of(gap.departed.begin(), gap.departed.end(), [&](std::uint64_t member) {
+        return gap.includedSelf
+            && std::all_of(gap.departedHashes.begin(), gap.departedHashes.end(), [&](std::uint64_t member) {
                    return rendezvousWeight(member, keyHash) < own;
                });
     }
@@ -84,26 +86,26 @@
     /** For a key that the present list makes the witness's own. */
     bool isClosedFor(const Gap &gap, const ClaimKey &key) const
     {
-        if (this->surelyWasWitness(gap, key)) {
+        if (this->wasProvablyWitness(gap, key)) {
             return true;
         }
         const bool fresh = gap.list.names.empty();
         const InstanceList &base = fresh ? this->list : gap.list;
         const WitnessQuorum quorum = this->parameters.quorumFor(base.names.size());
-        const std::vector<InstanceId> witnesses = base.first(key, quorum.witnesses);
+        const std::vector<InstanceId> witnesses = base.selectInstances(key, quorum.witnesses);
         const bool wasWitness = std::find(witnesses.begin(), witnesses.end(), this->self) != witnesses.end();
-        return (!fresh && wasWitness) || this->isLearnt(witnesses, quorum, fresh);
+        return (!fresh && wasWitness) || this->hasEnoughGivers(witnesses, quorum, fresh);
     }
 
     /** Drops the gaps that are closed for every key. */
-    void dropClosed(Millis now)
+    void dropClosedGaps(Millis now)
     {
         std::erase_if(this->gaps, [&](const Gap &gap) {
             const bool fresh = gap.list.names.empty();
             const InstanceList &base = fresh ? this->list : gap.list;
             return !this->isOpen(gap, now)
                 || (!base.names.empty()
-                    && this->isLearnt(base.names, this->parameters.quorumFor(base.names.size()), fresh));
+                    && this->hasEnoughGivers(base.names, this->parameters.quorumFor(base.names.size()), fresh));
         });
         if (this->gaps.empty()) {
             this->givers.clear();
@@ -111,38 +113,38 @@
     }
 
     /** Renews what is kept of each gap about the present list. */
-    void compareGaps()
+    void updateGaps()
     {
         for (Gap &gap : this->gaps) {
-            gap.hadSelf = gap.list.contains(this->self);
-            gap.departed.clear();
+            gap.includedSelf = gap.list.contains(this->self);
+            gap.departedHashes.clear();
             for (std::size_t i = 0; i < gap.list.names.size(); ++i) {
                 if (!this->list.contains(gap.list.names[i])) {
-                    gap.departed.push_back(gap.list.hashes[i]);
+                    gap.departedHashes.push_back(gap.list.hashes[i]);
                 }
             }
         }
     }
 
     /** Hand-overs of a large fleet cost more than they spare. */
-    bool mayAsk() const
+    bool mayPull() const
     {
-        return this->givers.size() <= this->parameters.handoverInstances;
+        return this->givers.size() <= this->parameters.maxHandoverInstances;
     }
 
     /** Most of those asked know no more of earlier times than this witness: a fleet that started cold. */
-    bool nobodyKnows() const
+    bool mostGiversHaveGaps() const
     {
-        const auto ignorant = std::count_if(
-            this->givers.begin(), this->givers.end(), [](const auto &giver) { return giver.second.lacks; });
-        return 2 * static_cast<std::size_t>(ignorant) > this->givers.size();
+        const auto giversWithGaps = std::count_if(
+            this->givers.begin(), this->givers.end(), [](const auto &giver) { return giver.second.hasGaps; });
+        return 2 * static_cast<std::size_t>(giversWithGaps) > this->givers.size();
     }
 
-    void restart(Millis now)
+    void restartPulls(Millis now)
     {
-        this->compareGaps();
+        this->updateGaps();
         ++this->pull;
-        this->startsAt = now + this->parameters.settleTime;
+        this->firstPullAt = now + this->parameters.settleTime;
         this->givers.clear();
         std::vector<InstanceId> names = this->list.names;
         for (const Gap &gap : this->gaps) {
@@ -156,12 +158,12 @@
     }
 
     /** Doubles with each question in vain, so that a fleet that knows nothing does not ask itself busy. */
-    Millis dueAt(const Giver &giver) const
+    Millis nextPullAt(const Giver &giver) const
     {
-        constexpr std::int64_t firstRetry = 4;
-        constexpr int doublings = 4;
-        const std::int64_t factor = firstRetry << std::clamp(giver.vain - 1, 0, doublings);
-        return giver.asked ? giver.askedAt + this->parameters.retryDelay * factor : this->startsAt;
+        constexpr std::int64_t firstRetryFactor = 4;
+        constexpr int maxDoublings = 4;
+        const std::int64_t factor = firstRetryFactor << std::clamp(giver.pullsWithoutProgress - 1, 0, maxDoublings);
+        return giver.pullSent ? giver.lastPullAt + this->parameters.retryDelay * factor : this->firstPullAt;
     }
 
     InstanceId self;
@@ -170,7 +172,7 @@
     std::vector<Gap> gaps;
     std::map<InstanceId, Giver> givers;
     std::uint64_t pull = 0;
-    Millis startsAt;
+    Millis firstPullAt;
 };
 
 Handover::Handover(const InstanceId &self, const ClaimParameters &parameters, Millis startedAt)
@@ -180,9 +182,9 @@
     this->d->parameters = parameters;
     this->d->gaps.push_back(Gap{InstanceList{}, startedAt, false, {}});
     // Pull numbers of an earlier life are smaller, so that its late pages are told apart.
-    constexpr int pullsPerMilli = 10;
-    this->d->pull = static_cast<std::uint64_t>(startedAt.count) << pullsPerMilli;
-    this->d->startsAt = startedAt + parameters.settleTime;
+    constexpr int pullNumberBitsPerMilli = 10;
+    this->d->pull = static_cast<std::uint64_t>(startedAt.count) << pullNumberBitsPerMilli;
+    this->d->firstPullAt = startedAt + parameters.settleTime;
 }
 
 Handover::~Handover() = default;
@@ -192,7 +194,7 @@
     if (list == this->d->list) {
         return;
     }
-    this->d->dropClosed(now);
+    this->d->dropClosedGaps(now);
     const InstanceList old = this->d->list;
     this->d->list = list;
     // Where instances were only added, whoever is a key's witness now was one before.
@@ -201,7 +203,7 @@
         this->d->gaps.push_back(Gap{old, now, false, {}});
     }
     if (!this->d->gaps.empty()) {
-        this->d->restart(now);
+        this->d->restartPulls(now);
     }
 }
 
@@ -213,7 +215,7 @@
 bool Handover::mayVote(Millis now, const ClaimKey &key) const
 {
     const std::size_t witnesses = this->d->parameters.quorumFor(this->d->list.names.size()).witnesses;
-    if (!this->d->list.isAmongFirst(this->d->self, key, witnesses)) {
+    if (!this->d->list.isSelected(this->d->self, key, witnesses)) {
         return false;
     }
     return std::all_of(this->d->gaps.begin(), this->d->gaps.end(), [&](const Gap &gap) {
@@ -224,13 +226,13 @@
 Millis Handover::retryAfter(Millis now, const ClaimKey &key) const
 {
     Millis wait = this->d->parameters.retryAfter;
-    const Millis handoverBy = this->d->startsAt + this->d->parameters.settleTime;
-    const bool asks = this->d->list.names.size() > 1 && this->d->mayAsk();
+    const Millis handoverBy = this->d->firstPullAt + this->d->parameters.settleTime;
+    const bool canPull = this->d->list.names.size() > 1 && this->d->mayPull();
     for (const Gap &gap : this->d->gaps) {
         if (this->d->isOpen(gap, now) && !this->d->isClosedFor(gap, key)) {
-            const Millis forgotten = gap.since + this->d->parameters.memory();
-            const bool mayStillLearn = now < handoverBy && asks && !this->d->nobodyKnows();
-            wait = std::max(wait, (mayStillLearn ? handoverBy : forgotten) - now);
+            const Millis forgottenAt = gap.since + this->d->parameters.claimRetention();
+            const bool mayStillLearn = now < handoverBy && canPull && !this->d->mostGiversHaveGaps();
+            wait = std::max(wait, (mayStillLearn ? handoverBy : forgottenAt) - now);
         }
     }
     return wait;
@@ -243,31 +245,31 @@
     });
 }
 
-bool Handover::isLearning(Millis now) const
+bool Handover::hasOpenGap(Millis now) const
 {
     return std::any_of(
         this->d->gaps.begin(), this->d->gaps.end(), [&](const Gap &gap) { return this->d->isOpen(gap, now); });
 }
 
-void Handover::closeStart()
+void Handover::closeStartGap()
 {
     std::erase_if(this->d->gaps, [](const Gap &gap) { return gap.list.names.empty(); });
 }
 
-std::vector<PullDue> Handover::due(Millis now)
+std::vector<DuePull> Handover::takeDuePulls(Millis now)
 {
-    this->d->dropClosed(now);
-    std::vector<PullDue> pulls;
-    if (now < this->d->startsAt || !this->d->mayAsk()) {
+    this->d->dropClosedGaps(now);
+    std::vector<DuePull> pulls;
+    if (now < this->d->firstPullAt || !this->d->mayPull()) {
         return pulls;
     }
     const bool fresh = this->isFresh(now);
     for (auto &[instance, giver] : this->d->givers) {
-        if (!this->d->isKnownFrom(instance, fresh) && now >= this->d->dueAt(giver)) {
-            giver.asked = true;
-            ++giver.vain;
-            giver.askedAt = now;
-            pulls.push_back(PullDue{instance, ClaimPull{this->d->pull, giver.next}});
+        if (!this->d->isHandoverComplete(instance, fresh) && now >= this->d->nextPullAt(giver)) {
+            giver.pullSent = true;
+            ++giver.pullsWithoutProgress;
+            giver.lastPullAt = now;
+            pulls.push_back(DuePull{instance, ClaimPull{this->d->pull, giver.next}});
         }
     }
     return pulls;
@@ -278,37 +280,37 @@
     Millis deadline = Millis::never();
     const bool fresh = this->isFresh(now);
     for (const auto &[instance, giver] : this->d->givers) {
-        if (this->d->mayAsk() && !this->d->isKnownFrom(instance, fresh)) {
-            deadline = std::min(deadline, std::max(this->d->startsAt, this->d->dueAt(giver)));
+        if (this->d->mayPull() && !this->d->isHandoverComplete(instance, fresh)) {
+            deadline = std::min(deadline, std::max(this->d->firstPullAt, this->d->nextPullAt(giver)));
         }
     }
     for (const Gap &gap : this->d->gaps) {
-        deadline = std::min(deadline, gap.since + this->d->parameters.memory());
+        deadline = std::min(deadline, gap.since + this->d->parameters.claimRetention());
     }
     return deadline;
 }
 
-bool Handover::pageArrived(Millis now, const InstanceId &from, const ClaimPage &page, bool kept)
+bool Handover::receivePage(Millis now, const InstanceId &from, const ClaimPage &page, bool allStored)
 {
     const auto found = this->d->givers.find(from);
-    if (page.pull != this->d->pull || found == this->d->givers.end() || !found->second.asked) {
+    if (page.pull != this->d->pull || found == this->d->givers.end() || !found->second.pullSent) {
         return false;
     }
     Giver &giver = found->second;
-    giver.lacks = page.giverAbstains || page.giverLearns;
-    if (!kept || page.giverAbstains) {
+    giver.hasGaps = page.giverAbstains || page.giverLearns;
+    if (!allStored || page.giverAbstains) {
         return true;
     }
     if (!page.last) {
         giver.next = std::max(giver.next, page.next);
-        giver.asked = false;
-        giver.vain = 0;
+        giver.pullSent = false;
+        giver.pullsWithoutProgress = 0;
         return true;
     }
-    giver.answered = true;
-    giver.settled = giver.settled || !page.giverLearns;
+    giver.handedOver = true;
+    giver.handedOverWithoutGaps = giver.handedOverWithoutGaps || !page.giverLearns;
     giver.next = ClaimKey{};
-    this->d->dropClosed(now);
+    this->d->dropClosedGaps(now);
     return true;
 }
 
--- a/sequoiausher/coordination/claims/handover.h
+++ b/sequoiausher/coordination/claims/handover.h
@@ -7,23 +7,23 @@
 //     handover.setInstances(now, makeInstanceList(names));
 //     handover.mayVote(now, key);                     // false, until it has learnt or waited long enough
 //
-// A list that was replaced within the last parameters.memory() is a gap: the witness does not know the claims of the
-// keys that it did not witness under that list. A start is a gap with the empty list: no key was witnessed. A gap
-// closes for a key when
+// A list that was replaced within the last parameters.claimRetention() is a gap: the witness does not know the claims
+// of the keys that it did not witness under that list. A start is a gap with the empty list: no key was witnessed. A
+// gap closes for a key when
 //   - the witness was among the key's witnesses under the gap's list, or
-//   - memory() has passed since the list was replaced: whatever was claimed then is forgotten by everyone, or
-//   - all but mayMiss of the key's other witnesses handed over what they know, asked settleTime after the gap began.
+//   - claimRetention() has passed since the list was replaced: whatever was claimed then is forgotten by everyone, or
+//   - all but maxMissing of the key's other witnesses handed over what they know, asked settleTime after the gap began.
 //     At a start these are the witnesses by the present list; otherwise those by the gap's list.
 //
 // Why settleTime: an attempt that counted a vote from before the gap is dispatched at most dispatchWindow after that
 // vote, and by then its whole quorum has recorded it. Whoever is asked later than that gives it.
 //
-// In a fleet of more than handoverInstances nobody is asked, and gaps close by time: each witness then has thousands of
-// claims with each of a thousand others, and asking for them takes longer than waiting.
+// In a fleet of more than maxHandoverInstances nobody is asked, and gaps close by time: each witness then has thousands
+// of claims with each of a thousand others, and asking for them takes longer than waiting.
 //
 // What may be missing (WitnessQuorum::handover): with the shipped 5 and 4, one witness of a key, while one of them
 // differs from those that the claim was made with. So one dead instance does not stop a hand-over. Where two of a
-// key's other witnesses cannot be asked, the learner abstains for that key for memory(); its others still vote.
+// key's other witnesses cannot be asked, the learner abstains for that key for claimRetention(); its others still vote.
 
 #include "sequoiausher/coordination/claims/claimparameters.h"
 #include "sequoiausher/coordination/claims/instancelist.h"
@@ -35,7 +35,7 @@
 namespace Sequoiausher {
 
 /** A pull to be sent. */
-struct PullDue
+struct DuePull
 {
     InstanceId to;
     ClaimPull pull;
@@ -61,20 +61,20 @@
     /** Nothing from before its start is known, so what it hands over does not count. */
     bool isFresh(Millis now) const;
     /** Some gap is open. */
-    bool isLearning(Millis now) const;
+    bool hasOpenGap(Millis now) const;
 
-    /** Closes the gap of the start; see Witness::foundEmpty for when this is safe. */
-    void closeStart();
+    /** Closes the gap of the start; see Witness::assumeNoPriorClaims for when this is safe. */
+    void closeStartGap();
 
     /** The pulls to be sent now; marks them as sent. */
-    std::vector<PullDue> due(Millis now);
+    std::vector<DuePull> takeDuePulls(Millis now);
     /** When due or the gaps next change; Millis::never() without any. */
     Millis nextDeadline(Millis now) const;
     /**
-     * A page arrived. @param kept all its records could be stored; otherwise the giver does not count.
+     * A page arrived. @param allStored all its records could be stored; otherwise the giver does not count.
      * @return whether it answers a present pull, so that due has the next page to ask for.
      */
-    bool pageArrived(Millis now, const InstanceId &from, const ClaimPage &page, bool kept);
+    bool receivePage(Millis now, const InstanceId &from, const ClaimPage &page, bool allStored);
 
 private:
     class Private;
--- a/sequoiausher/coordination/claims/instancelist.cpp
+++ b/sequoiausher/coordination/claims/instancelist.cpp
@@ -14,7 +14,7 @@
     return std::binary_search(this->names.begin(), this->names.end(), instance);
 }
 
-std::vector<InstanceId> InstanceList::first(const ClaimKey &key, std::size_t count) const
+std::vector<InstanceId> InstanceList::selectInstances(const ClaimKey &key, std::size_t count) const
 {
     std::vector<InstanceId> members;
     for (const std::size_t index : rendezvousOrder(this->hashes, witnessHash(key), count)) {
@@ -23,7 +23,7 @@
     return members;
 }
 
-bool InstanceList::isAmongFirst(const InstanceId &instance, const ClaimKey &key, std::size_t count) const
+bool InstanceList::isSelected(const InstanceId &instance, const ClaimKey &key, std::size_t count) const
 {
     const auto order = rendezvousOrder(this->hashes, witnessHash(key), count);
     return std::any_of(order.begin(), order.end(), [&](std::size_t index) { return this->names[index] == instance; });
--- a/sequoiausher/coordination/claims/instancelist.h
+++ b/sequoiausher/coordination/claims/instancelist.h
@@ -3,7 +3,7 @@
 // The platform's list of instances, with the hashes that the choice of a key's witnesses needs.
 //
 //     const InstanceList list = makeInstanceList({InstanceId{"r1"}, InstanceId{"r2"}});
-//     const std::vector<InstanceId> five = list.first(key, 5);
+//     const std::vector<InstanceId> five = list.selectInstances(key, 5);
 
 #include "sequoiausher/base/hashing.h"
 #include "sequoiausher/base/identifiers.h"
@@ -23,9 +23,9 @@
 
     bool contains(const InstanceId &instance) const;
     /** The count instances that come first for key by rendezvous, best first. */
-    std::vector<InstanceId> first(const ClaimKey &key, std::size_t count) const;
+    std::vector<InstanceId> selectInstances(const ClaimKey &key, std::size_t count) const;
     /** Whether instance is among them. */
-    bool isAmongFirst(const InstanceId &instance, const ClaimKey &key, std::size_t count) const;
+    bool isSelected(const InstanceId &instance, const ClaimKey &key, std::size_t count) const;
 };
 
 /** The hash by which a key's witnesses are ordered, for rendezvousWeight. */
--- a/sequoiausher/coordination/claims/witness.cpp
+++ b/sequoiausher/coordination/claims/witness.cpp
@@ -16,7 +16,7 @@
     Private(const InstanceId &ownName, const ClaimParameters &settings, Millis startedAt)
         : self(ownName)
         , parameters(settings)
-        , store(settings.maxRecords, settings.memory(), settings.tombstoneLifetime)
+        , store(settings.maxRecords, settings.claimRetention(), settings.tombstoneLifetime)
         , handover(ownName, settings, startedAt)
     {
     }
@@ -28,7 +28,7 @@
     }
 
     /** Fills the vote where another attempt holds the key. */
-    static bool isHeldByAnother(const std::vector<ClaimRecord> &claims, const ClaimRequest &request, ClaimVote &vote)
+    static bool fillVoteIfHeld(const std::vector<ClaimRecord> &claims, const ClaimRequest &request, ClaimVote &vote)
     {
         const auto isOther = [&](const ClaimRecord &claim) { return claim.attempt != request.attempt; };
         const auto other = std::find_if(claims.begin(), claims.end(), isOther);
@@ -41,10 +41,10 @@
         return true;
     }
 
-    void decide(Millis now, const InstanceId &from, const ClaimRequest &request, ClaimVote &vote)
+    void decideVote(Millis now, const InstanceId &from, const ClaimRequest &request, ClaimVote &vote)
     {
-        const std::vector<ClaimRecord> claims = this->store.claimsOf(now, request.key);
-        if (isHeldByAnother(claims, request, vote)) {
+        const std::vector<ClaimRecord> claims = this->store.findClaims(now, request.key);
+        if (fillVoteIfHeld(claims, request, vote)) {
             return;
         }
         // Remembered even where the vote is withheld, so that claims renewed by their holders teach a new witness.
@@ -57,9 +57,9 @@
         }
     }
 
-    void sendDue(Millis now, Outbox &outbox)
+    void sendDuePulls(Millis now, Outbox &outbox)
     {
-        for (const PullDue &due : this->handover.due(now)) {
+        for (const DuePull &due : this->handover.takeDuePulls(now)) {
             outbox.push_back(Outgoing{due.to, due.pull});
         }
     }
@@ -67,25 +67,25 @@
     /** Who becomes a witness of the key once this one is off the list; none where all others are witnesses already. */
     std::optional<InstanceId> nextWitness(const ClaimKey &key) const
     {
-        const std::size_t count = this->parameters.quorumFor(this->afterLeaving.names.size()).witnesses;
-        std::vector<InstanceId> witnesses = this->afterLeaving.first(key, count);
+        const std::size_t count = this->parameters.quorumFor(this->listWithoutSelf.names.size()).witnesses;
+        std::vector<InstanceId> witnesses = this->listWithoutSelf.selectInstances(key, count);
         return witnesses.size() < this->parameters.witnesses ? std::nullopt : std::optional(witnesses.back());
     }
 
     /** Who was given claims so lately that some of these may still be withdrawn. */
-    std::set<InstanceId> takersOf(Millis now, const ClaimKey &key)
+    std::set<InstanceId> claimRecipients(Millis now, const ClaimKey &key)
     {
         const auto isPast
             = [&](const auto &entry) { return now >= entry.second + this->parameters.dispatchWindow * 2; };
         std::erase_if(this->pulledAt, isPast);
-        std::set<InstanceId> takers;
+        std::set<InstanceId> recipients;
         for (const auto &entry : this->pulledAt) {
-            takers.insert(entry.first);
+            recipients.insert(entry.first);
         }
         if (const std::optional<InstanceId> next = this->nextWitness(key)) {
-            takers.insert(*next);
+            recipients.insert(*next);
         }
-        return takers;
+        return recipients;
     }
 
     /**
@@ -94,18 +94,18 @@
      * to that attempt's router and, once that is gone, hear 'unknown' although another attempt's answer is kept. Passed
      * on only where the claim was still here, so that two instances do not pass it to each other for ever.
      */
-    void passOn(Millis now, const InstanceId &from, const ClaimWithdraw &withdrawal, Outbox &outbox)
+    void forwardWithdrawal(Millis now, const InstanceId &from, const ClaimWithdraw &withdrawal, Outbox &outbox)
     {
-        const std::vector<ClaimRecord> claims = this->store.claimsOf(now, withdrawal.key);
+        const std::vector<ClaimRecord> claims = this->store.findClaims(now, withdrawal.key);
         const bool held = std::any_of(claims.begin(), claims.end(), [&](const ClaimRecord &claim) {
             return claim.attempt == withdrawal.attempt && claim.round <= withdrawal.round;
         });
         if (!held) {
             return;
         }
-        for (const InstanceId &taker : this->takersOf(now, withdrawal.key)) {
-            if (taker != from) {
-                outbox.push_back(Outgoing{taker, withdrawal});
+        for (const InstanceId &recipient : this->claimRecipients(now, withdrawal.key)) {
+            if (recipient != from) {
+                outbox.push_back(Outgoing{recipient, withdrawal});
             }
         }
     }
@@ -115,7 +115,7 @@
     ClaimStore store;
     Handover handover;
     /** The list without this instance, once it leaves; empty before. */
-    InstanceList afterLeaving;
+    InstanceList listWithoutSelf;
     /** When each instance last asked for claims. */
     std::map<InstanceId, Millis> pulledAt;
 };
@@ -138,29 +138,29 @@
     vote.key = request.key;
     vote.attempt = request.attempt;
     vote.round = request.round;
-    this->d->decide(now, from, request, vote);
+    this->d->decideVote(now, from, request, vote);
     outbox.push_back(Outgoing{from, vote});
 }
 
 void Witness::receive(Millis now, const InstanceId &from, const ClaimWithdraw &withdrawal, Outbox &outbox)
 {
-    this->d->passOn(now, from, withdrawal, outbox);
+    this->d->forwardWithdrawal(now, from, withdrawal, outbox);
     this->d->store.withdraw(now, withdrawal.key, withdrawal.attempt, withdrawal.round);
 }
 
 void Witness::receive(Millis now, const InstanceId &from, const ClaimPull &pull, Outbox &outbox)
 {
     const InstanceList &list = this->d->handover.instances();
-    const std::size_t ranks = this->d->parameters.witnesses + this->d->parameters.tolerated();
+    const std::size_t ranks = this->d->parameters.witnesses + this->d->parameters.faultTolerance();
     const bool known = list.contains(from);
     // Ranks beyond the witnesses, since the other's list may lack instances that are on this one.
-    const auto wanted = [&](const ClaimKey &key) { return !known || list.isAmongFirst(from, key, ranks); };
+    const auto wanted = [&](const ClaimKey &key) { return !known || list.isSelected(from, key, ranks); };
     this->d->pulledAt[from] = now;
     ClaimStore::Page found = this->d->store.page(now, pull.from, this->d->parameters.pageRecords, wanted);
     ClaimPage page;
     page.pull = pull.pull;
     page.giverAbstains = this->d->handover.isFresh(now);
-    page.giverLearns = this->d->handover.isLearning(now);
+    page.giverLearns = this->d->handover.hasOpenGap(now);
     page.last = found.last;
     page.next = found.next;
     page.records = std::move(found.records);
@@ -169,19 +169,19 @@
 
 void Witness::receive(Millis now, const InstanceId &from, const ClaimPage &page, Outbox &outbox)
 {
-    bool kept = true;
+    bool allStored = true;
     for (const ClaimRecord &record : page.records) {
-        kept = this->d->store.add(now, record) != StoreResult::Full && kept;
+        allStored = this->d->store.add(now, record) != StoreResult::Full && allStored;
     }
-    if (this->d->handover.pageArrived(now, from, page, kept)) {
-        this->d->sendDue(now, outbox);
+    if (this->d->handover.receivePage(now, from, page, allStored)) {
+        this->d->sendDuePulls(now, outbox);
     }
 }
 
 void Witness::tick(Millis now, Outbox &outbox)
 {
     this->d->store.expire(now);
-    this->d->sendDue(now, outbox);
+    this->d->sendDuePulls(now, outbox);
 }
 
 Millis Witness::nextDeadline(Millis now) const
@@ -189,11 +189,11 @@
     return std::min(this->d->store.nextExpiry(), this->d->handover.nextDeadline(now));
 }
 
-void Witness::leave(Millis now, Outbox &outbox)
+void Witness::handOverClaims(Millis now, Outbox &outbox)
 {
     std::vector<InstanceId> names = this->d->handover.instances().names;
     std::erase(names, this->d->self);
-    this->d->afterLeaving = makeInstanceList(std::move(names));
+    this->d->listWithoutSelf = makeInstanceList(std::move(names));
     const std::size_t everything = this->d->store.size();
     const auto all = [](const ClaimKey &) { return true; };
     std::map<InstanceId, ClaimPage> pages;
@@ -217,9 +217,9 @@
     }
 }
 
-void Witness::foundEmpty()
+void Witness::assumeNoPriorClaims()
 {
-    this->d->handover.closeStart();
+    this->d->handover.closeStartGap();
 }
 
 bool Witness::mayVote(Millis now, const ClaimKey &key) const
--- a/sequoiausher/coordination/claims/witness.h
+++ b/sequoiausher/coordination/claims/witness.h
@@ -7,9 +7,9 @@
 //     witness.receive(now, from, claimRequest, outbox);    // a ClaimVote goes to from
 //     ... witness.tick(now, outbox) whenever now >= witness.nextDeadline(now)
 //
-// A key is granted to one attempt and to no other until that attempt withdraws or ClaimParameters::memory() passes.
-// A witness abstains where it may have forgotten or never known a claim: see handover.h. It also abstains for new
-// keys while its store is full; it never forgets one claim for another.
+// A key is granted to one attempt and to no other until that attempt withdraws or ClaimParameters::claimRetention()
+// passes. A witness abstains where it may have forgotten or never known a claim: see handover.h. It also abstains for
+// new keys while its store is full; it never forgets one claim for another.
 //
 // What holds, and when (docs/design/at-most-once.md): two quorums of a key meet in a witness that remembers while
 // 2 * quorum > witnesses + d + f. d: members by which the witness sets of two claims differ, without counting those
@@ -57,14 +57,14 @@
      * On a planned stop: sends every claim to the instance that becomes the key's witness once this one is off the
      * list. Votes go on; call it when the drain begins and once more just before the process ends.
      */
-    void leave(Millis now, Outbox &outbox);
+    void handOverClaims(Millis now, Outbox &outbox);
 
     /**
      * Votes at once although fresh. Safe only where the operator says, in the platform's list and for this very
-     * incarnation, that no request was dispatched within the last memory(): a first start of a fleet. A witness that
-     * restarts has another incarnation, so that the same words do not free it.
+     * incarnation, that no request was dispatched within the last claimRetention(): a first start of a fleet. A witness
+     * that restarts has another incarnation, so that the same words do not free it.
      */
-    void foundEmpty();
+    void assumeNoPriorClaims();
 
     /** Whether it would grant a free key. */
     bool mayVote(Millis now, const ClaimKey &key) const;
--- a/sequoiausher/coordination/claims/witnesstest.cpp
+++ b/sequoiausher/coordination/claims/witnesstest.cpp
@@ -81,7 +81,7 @@
 TEST_CASE("a key is one attempt's until it withdraws or is forgotten")
 {
     Fixture f;
-    f.witness.foundEmpty();
+    f.witness.assumeNoPriorClaims();
     CHECK(f.ask(Millis{1}, first).verdict == ClaimVerdict::Granted);
     CHECK(f.ask(Millis{2}, first).verdict == ClaimVerdict::Granted);
     const ClaimVote held = f.ask(Millis{3}, second);
@@ -91,8 +91,8 @@
     CHECK(f.ask(Millis{3}, second, 1, 9).verdict == ClaimVerdict::BodyDiffers);
     f.withdraw(Millis{4}, first, 1);
     CHECK(f.ask(Millis{5}, second).verdict == ClaimVerdict::Granted);
-    CHECK(f.ask(Millis{4} + f.parameters.memory(), first, 2).verdict == ClaimVerdict::Held);
-    CHECK(f.ask(Millis{5} + f.parameters.memory(), first, 2).verdict == ClaimVerdict::Granted);
+    CHECK(f.ask(Millis{4} + f.parameters.claimRetention(), first, 2).verdict == ClaimVerdict::Held);
+    CHECK(f.ask(Millis{5} + f.parameters.claimRetention(), first, 2).verdict == ClaimVerdict::Granted);
 }
 
 // Symptom: a key that nobody runs stays blocked until it expires. Events: the withdrawal overtakes its claim. Cause:
@@ -100,7 +100,7 @@
 TEST_CASE("a withdrawal that overtakes its claim leaves nothing behind")
 {
     Fixture f;
-    f.witness.foundEmpty();
+    f.witness.assumeNoPriorClaims();
     f.withdraw(Millis{1}, first, 1);
     CHECK(f.ask(Millis{2}, first, 1).verdict == ClaimVerdict::Abstains);
     CHECK(f.ask(Millis{3}, second).verdict == ClaimVerdict::Granted);
@@ -111,7 +111,7 @@
 TEST_CASE("a late withdrawal does not free a later round")
 {
     Fixture f;
-    f.witness.foundEmpty();
+    f.witness.assumeNoPriorClaims();
     CHECK(f.ask(Millis{1}, first, 2).verdict == ClaimVerdict::Granted);
     f.withdraw(Millis{2}, first, 1);
     CHECK(f.ask(Millis{3}, second).verdict == ClaimVerdict::Held);
@@ -125,7 +125,7 @@
     const ClaimVote vote = f.ask(Millis{1}, first);
     CHECK(vote.verdict == ClaimVerdict::Abstains);
     CHECK(vote.retryAfter > Millis{0});
-    const Millis forgotten = f.parameters.memory();
+    const Millis forgotten = f.parameters.claimRetention();
     CHECK(f.ask(forgotten - Millis{1}, first).verdict == ClaimVerdict::Abstains);
     CHECK(f.ask(forgotten, first).verdict == ClaimVerdict::Granted);
 }
@@ -176,7 +176,7 @@
 TEST_CASE("a witness abstains for keys that a change of the list made its own, until it learnt them")
 {
     Fixture f({}, {"r2", "r3", "r4", "r5", "r6", "r7"});
-    f.witness.foundEmpty();
+    f.witness.assumeNoPriorClaims();
     const Millis changed{10000};
     f.witness.setInstances(changed, routers({"r1", "r3", "r4", "r5", "r6", "r7"}));
     std::size_t own = 0;
@@ -196,9 +196,9 @@
 TEST_CASE("a witness of a large fleet asks nobody, and abstains only for the keys that a departure made its own")
 {
     ClaimParameters parameters;
-    parameters.handoverInstances = 3;
+    parameters.maxHandoverInstances = 3;
     Fixture f(parameters, {"r1", "r2", "r3", "r4", "r5", "r6", "r7"});
-    f.witness.foundEmpty();
+    f.witness.assumeNoPriorClaims();
     const InstanceList before = routers({"r1", "r2", "r3", "r4", "r5", "r6", "r7"});
     const InstanceList after = routers({"r1", "r2", "r3", "r4", "r5", "r6"});
     const Millis changed{10000};
@@ -208,10 +208,10 @@
     CHECK(outbox.empty());
     for (std::uint64_t i = 0; i < 100; ++i) {
         const ClaimKey one{i, 0};
-        const bool was = before.isAmongFirst(self, one, parameters.witnesses);
-        const bool is = after.isAmongFirst(self, one, parameters.witnesses);
+        const bool was = before.isSelected(self, one, parameters.witnesses);
+        const bool is = after.isSelected(self, one, parameters.witnesses);
         CHECK(f.witness.mayVote(changed, one) == (was && is));
-        CHECK(f.witness.mayVote(changed + parameters.memory(), one) == is);
+        CHECK(f.witness.mayVote(changed + parameters.claimRetention(), one) == is);
     }
 }
 
@@ -220,7 +220,7 @@
     ClaimParameters parameters;
     parameters.maxRecords = 1;
     Fixture f(parameters);
-    f.witness.foundEmpty();
+    f.witness.assumeNoPriorClaims();
     CHECK(f.ask(Millis{1}, first).verdict == ClaimVerdict::Granted);
     CHECK(f.askFor(Millis{1}, ClaimRequest{ClaimKey{1, 1}, first, 1, 1}).verdict == ClaimVerdict::Abstains);
     CHECK(f.ask(Millis{2}, second).verdict == ClaimVerdict::Held);
@@ -231,7 +231,7 @@
     ClaimParameters parameters;
     parameters.pageRecords = 3;
     Fixture f(parameters);
-    f.witness.foundEmpty();
+    f.witness.assumeNoPriorClaims();
     constexpr std::uint64_t keys = 10;
     for (std::uint64_t i = 0; i < keys; ++i) {
         f.askFor(Millis{1}, ClaimRequest{ClaimKey{i, i}, first, 1, 1});
@@ -253,20 +253,20 @@
 TEST_CASE("a planned stop hands every claim to the key's next witness")
 {
     Fixture f({}, {"r1", "r2", "r3", "r4", "r5", "r6", "r7"});
-    f.witness.foundEmpty();
+    f.witness.assumeNoPriorClaims();
     constexpr std::uint64_t keys = 20;
     for (std::uint64_t i = 0; i < keys; ++i) {
         f.askFor(Millis{1}, ClaimRequest{ClaimKey{i, i}, first, 1, 1});
     }
     Outbox outbox;
-    f.witness.leave(Millis{2}, outbox);
+    f.witness.handOverClaims(Millis{2}, outbox);
     const InstanceList before = routers({"r1", "r2", "r3", "r4", "r5", "r6", "r7"});
     std::size_t records = 0;
     for (const Outgoing &out : outbox) {
         for (const ClaimRecord &record : std::get<ClaimPage>(out.message).records) {
             ++records;
-            if (before.isAmongFirst(self, record.key, f.parameters.witnesses)) {
-                CHECK_FALSE(before.isAmongFirst(out.to, record.key, f.parameters.witnesses));
+            if (before.isSelected(self, record.key, f.parameters.witnesses)) {
+                CHECK_FALSE(before.isSelected(out.to, record.key, f.parameters.witnesses));
             }
         }
     }
@@ -279,13 +279,13 @@
 TEST_CASE("a withdrawal follows a claim that was handed over")
 {
     Fixture f({}, {"r1", "r2", "r3", "r4", "r5", "r6", "r7"});
-    f.witness.foundEmpty();
+    f.witness.assumeNoPriorClaims();
     f.ask(Millis{1}, first, 2);
     const ClaimWithdraw withdrawal{key, first, 2};
     Outbox outbox;
     SUBCASE("handed over")
     {
-        f.witness.leave(Millis{2}, outbox);
+        f.witness.handOverClaims(Millis{2}, outbox);
         REQUIRE(outbox.size() == 1);
         const Outgoing page = outbox.at(0);
         outbox.clear();
@@ -299,7 +299,7 @@
 
         Witness next(page.to, f.parameters, Millis{0});
         next.setInstances(Millis{0}, routers({"r1", "r2", "r3", "r4", "r5", "r6", "r7"}));
-        next.foundEmpty();
+        next.assumeNoPriorClaims();
         next.receive(Millis{5}, self, std::get<ClaimPage>(page.message), outbox);
         next.receive(Millis{5}, self, withdrawal, outbox);
         next.receive(Millis{6}, entry, ClaimRequest{key, second, 1, 1}, outbox);
--- a/sequoiausher/transport/router/answerhandover.cpp
+++ b/sequoiausher/transport/router/answerhandover.cpp
@@ -3,7 +3,7 @@
 namespace Sequoiausher {
 
 AnswerHandover::AnswerHandover(AnswerTable &answers,
-                               const HandoverSettings &settings,
+                               const AnswerHandoverSettings &settings,
                                std::uint64_t number,
                                const Log &theLog,
                                Metrics &theMetrics)
@@ -11,7 +11,7 @@
     , log(theLog)
     , metrics(theMetrics)
     , giver(settings, number, *this)
-    , taker(TakerSettings{})
+    , taker(AnswerReceiverSettings{})
 {
 }
 
@@ -30,7 +30,7 @@
 void AnswerHandover::receive(Millis now, const InstanceId &from, const AnswerPage &page, Outbox &outbox)
 {
     this->taker.receive(now, from, page, outbox);
-    for (TakenAnswer &taken : this->taker.takeWhole()) {
+    for (ReceivedAnswer &taken : this->taker.takeWholeAnswers()) {
         const bool kept = this->table.keep(now, taken.answer, std::move(taken.body));
         this->metrics.add(kept ? "answers_taken_over_total" : "answers_not_taken_over_total");
     }
@@ -71,10 +71,10 @@
         return;
     }
     this->givesNow = false;
-    const HandoverCount count = this->giver.count();
+    const AnswerHandoverCount count = this->giver.count();
     this->log.info(LogPart::Main,
                    "kept answers were handed over",
-                   {{"given", std::to_string(count.given)}, {"left", std::to_string(count.left)}});
+                   {{"given", std::to_string(count.delivered)}, {"left", std::to_string(count.undelivered)}});
 }
 
 } // namespace Sequoiausher
--- a/sequoiausher/transport/router/answerhandover.h
+++ b/sequoiausher/transport/router/answerhandover.h
@@ -10,19 +10,19 @@
 
 #include "sequoiausher/base/log/log.h"
 #include "sequoiausher/base/metrics/metrics.h"
-#include "sequoiausher/coordination/answers/answergiver.h"
-#include "sequoiausher/coordination/answers/answertaker.h"
+#include "sequoiausher/coordination/answers/answerreceiver.h"
+#include "sequoiausher/coordination/answers/answersender.h"
 #include "sequoiausher/state/answers/answertable.h"
 
 namespace Sequoiausher {
 
 /** Belongs to the control thread. */
-class AnswerHandover : public AnswerSource
+class AnswerHandover : public AnswerBodySource
 {
 public:
     /** @param number unique to this life of the router. @param answers, log and metrics outlive it. */
     AnswerHandover(AnswerTable &answers,
-                   const HandoverSettings &settings,
+                   const AnswerHandoverSettings &settings,
                    std::uint64_t number,
                    const Log &log,
                    Metrics &metrics);
@@ -46,8 +46,8 @@
     AnswerTable &table;
     const Log &log;
     Metrics &metrics;
-    AnswerGiver giver;
-    AnswerTaker taker;
+    AnswerSender giver;
+    AnswerReceiver taker;
     std::uint64_t toldDropped = 0;
     bool givesNow = false;
 };
--- a/sequoiausher/transport/router/node.cpp
+++ b/sequoiausher/transport/router/node.cpp
@@ -112,7 +112,7 @@
 void Node::finished(const RequestId &attempt)
 {
     const std::scoped_lock lock(this->d->claimsMutex);
-    this->d->claimant.finished(attempt);
+    this->d->claimant.finishAttempt(attempt);
 }
 
 void Node::reserve(const Wanted &request)
@@ -304,7 +304,7 @@
     }
     {
         const std::scoped_lock lock(this->d->claimsMutex);
-        this->d->witness.leave(Millis::monotonicNow(), outbox);
+        this->d->witness.handOverClaims(Millis::monotonicNow(), outbox);
     }
     this->d->deliver(std::move(outbox));
 }
@@ -332,7 +332,7 @@
     Outbox outbox;
     {
         const std::scoped_lock lock(this->d->claimsMutex);
-        this->d->witness.leave(Millis::monotonicNow(), outbox);
+        this->d->witness.handOverClaims(Millis::monotonicNow(), outbox);
     }
     {
         const std::scoped_lock lock(this->d->membershipMutex);
--- a/sequoiausher/transport/router/nodeconfiguration.cpp
+++ b/sequoiausher/transport/router/nodeconfiguration.cpp
@@ -141,7 +141,7 @@
     this->witness.setInstances(now, list);
     if (first && this->witness.isFresh(now)) {
         this->log.info(LogPart::Claims, "the operators say that this is a first start, so this witness votes");
-        this->witness.foundEmpty();
+        this->witness.assumeNoPriorClaims();
     }
 }
 
--- a/sequoiausher/transport/router/nodeprivate.cpp
+++ b/sequoiausher/transport/router/nodeprivate.cpp
@@ -54,11 +54,11 @@
     return reserver;
 }
 
-HandoverSettings handoverSettings(const RouterSettings &settings)
+AnswerHandoverSettings handoverSettings(const RouterSettings &settings)
 {
-    HandoverSettings handover;
-    handover.time = settings.drain.handover;
-    handover.bytes = settings.drain.handoverBytes;
+    AnswerHandoverSettings handover;
+    handover.timeLimit = settings.drain.handover;
+    handover.maxTotalBytes = settings.drain.handoverBytes;
     return handover;
 }
 
--- a/sequoiausher/transport/router/requestsession.cpp
+++ b/sequoiausher/transport/router/requestsession.cpp
@@ -98,7 +98,7 @@
         return;
     }
     // A holder that gave its attempt up says so; this call may simply be tried again.
-    if (reply.verdict == AttachVerdict::NotRun && this->d->search.asksHolder()) {
+    if (reply.verdict == AttachVerdict::NotRun && this->d->search.isLastAskedHolder()) {
         this->d->run(this->d->flow.attachFailed(now, Ran::No));
     } else {
         this->d->askElsewhere();
