--- a/sequoiausher/coordination/claims/ballot.h
+++ b/sequoiausher/coordination/claims/ballot.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The votes of one round of one claim, counted.
+// Collects and counts the votes of one round of one claim.
 //
 //     Ballot ballot(witnesses, 4);
 //     ballot.record("r2", vote);
@@ -14,7 +14,7 @@
 
 namespace Sequoiausher {
 
-/** Another attempt of the key, as votes named it. */
+/** Another attempt of the same key that at least one vote named as the holder. */
 struct Rival
 {
     RequestId attempt;
@@ -23,18 +23,18 @@
     bool bodyDiffers = false;
 };
 
-/** What the votes of a round come to. */
+/** The result of counting the votes of one round. */
 struct VoteCount
 {
     std::size_t granted = 0;
     std::size_t abstained = 0;
-    /** Asked and not yet answered. */
+    /** Witnesses that have not answered yet. */
     std::size_t unanswered = 0;
-    /** Most votes first. */
+    /** Ordered by votes, most first, then by attempt id. */
     std::vector<Rival> rivals;
 };
 
-/** One round's votes. */
+/** The votes of one round. */
 class Ballot
 {
 public:
@@ -44,23 +44,26 @@
     const std::vector<InstanceId> &witnesses() const;
     std::size_t quorum() const;
 
-    /** Records a vote; false where from is no witness. A grant stays: a late refusal of an earlier question is old. */
+    /**
+     * Records a vote. A grant is never replaced, since a refusal that arrives after it answers an earlier request.
+     * @return false if from is not a witness of the key.
+     */
     bool record(const InstanceId &from, const ClaimVote &vote);
     /** Forgets every vote. */
     void clear();
-    /** Forgets the refusals for another attempt's sake, to ask those witnesses again. */
+    /** Forgets the votes that named another attempt, so that these witnesses are asked again. */
     void clearRivalVotes();
-    /** Witnesses that have not granted. */
+    /** Witnesses that have not granted the claim. */
     std::vector<InstanceId> witnessesWithoutGrant() const;
-    /** Witnesses that did not name another attempt: they may have recorded this one. */
+    /** Witnesses that have not named another attempt, and so may have recorded this one. */
     std::vector<InstanceId> witnessesThatMayHaveRecorded() const;
-    /** Those of them that have voted: they granted, or withheld their vote and remember the claim all the same. */
+    /** Witnesses that granted or abstained. A witness that abstains may still record the claim. */
     std::vector<InstanceId> witnessesThatRecorded() const;
 
     VoteCount countVotes() const;
-    /** Whether the quorum could be reached if every rival withdrew and every open witness granted. */
+    /** Whether a quorum would be reached if every rival withdrew and every unanswered request were granted. */
     bool isQuorumReachable(const VoteCount &count) const;
-    /** When enough of those that abstained expect to vote; zero where they are not what is missing. */
+    /** The delay until enough abstaining witnesses expect to vote; zero if abstentions do not prevent the quorum. */
     Millis retryAfter() const;
 
 private:
--- a/sequoiausher/coordination/claims/claimant.cpp
+++ b/sequoiausher/coordination/claims/claimant.cpp
@@ -14,13 +14,13 @@
 
 namespace {
 
-/** How often an attempt asks anew after it gave way to a smaller one. */
+/** Bound on the rounds of an attempt that backs off for attempts with smaller ids. */
 constexpr std::uint32_t maxRounds = 4;
-/** How often the smaller attempt asks again while a larger one does not give way. */
+/** How often the attempt with the smallest id repeats its requests while an attempt with a larger id holds votes. */
 constexpr int maxContentionRetries = 8;
-/** How often a withdrawal is repeated, since it is not acknowledged. */
+/** How often a withdrawal is repeated, since withdrawals are not acknowledged. */
 constexpr int maxWithdrawalRepeats = 3;
-/** Renewals of a running claim within one lifetime. */
+/** Renewals of a dispatched attempt's claim per lifetime. */
 constexpr std::int64_t renewalsPerLifetime = 4;
 
 } // namespace
@@ -76,7 +76,7 @@
         this->setPhase(attempt, Phase::Asking);
         attempt.ballot.clear();
         attempt.contentionRetries = 0;
-        // Counted from before the questions leave: every vote of this round is younger.
+        // The window starts before the requests are sent, so that every vote of this round is younger than the window.
         attempt.dispatchBy = now + this->parameters.dispatchWindow;
         this->sendRequests(attempt, attempt.ballot.witnesses(), outbox);
         this->setTimer(attempt, std::min(now + this->parameters.retryDelay, attempt.giveUpAt));
@@ -96,8 +96,8 @@
 
     void acquire(Millis now, Attempt &attempt, Outbox &outbox)
     {
-        // A process that paused while the votes came in must not act on them: the witnesses may forget them before
-        // it has dispatched. One would notice two runs of one key, minutes apart.
+        // A process that was paused while the votes arrived must not use them, since the witnesses may forget the claim
+        // before the dispatch. The symptom would be two runs of one key, minutes apart.
         if (now >= attempt.dispatchBy) {
             this->withdrawAttempt(now, attempt, attempt.ballot.witnesses(), outbox);
             this->reportNoQuorum(attempt);
@@ -110,13 +110,13 @@
         this->outcomes.push_back(std::move(outcome));
     }
 
-    /** The quorum is out of reach as the votes stand. */
+    /** Handles votes that leave the quorum out of reach: backs off, asks again or ends the claim. */
     void resolve(Millis now, Attempt &attempt, const VoteCount &count, Outbox &outbox)
     {
         const std::size_t mostVotes = count.rivals.empty() ? 0 : count.rivals.front().votes;
         const bool rivalHasQuorum = mostVotes >= attempt.ballot.quorum();
         if (!rivalHasQuorum && mostVotes > 0 && mostVotes + count.unanswered >= attempt.ballot.quorum()) {
-            return; // The votes to come may show that the rival has won.
+            return; // The outstanding votes may still show that the rival has a quorum.
         }
         const bool cannotAcquire = rivalHasQuorum || count.rivals.empty() || !attempt.ballot.isQuorumReachable(count);
         const bool mustBackOff = this->hasSmallerRival(attempt, count);
@@ -153,8 +153,9 @@
 
     void conclude(Millis now, Attempt &attempt, const VoteCount &count, Outbox &outbox)
     {
-        // Who holds the key at a quorum left this attempt a stray vote at most. Were it not withdrawn, that witness
-        // would name this attempt to a retry once others are replaced. A vote still to come is answered when it does.
+        // If a rival has a quorum, at most a few witnesses have recorded this attempt. Without a withdrawal such a
+        // witness would name this attempt as the holder to a retry, once the other witnesses have been replaced. A vote
+        // that is still outstanding is answered with a withdrawal when it arrives.
         const bool rivalHasQuorum = !count.rivals.empty() && count.rivals.front().votes >= attempt.ballot.quorum();
         this->withdrawAttempt(now,
                               attempt,
@@ -208,7 +209,7 @@
             this->startNextRound(now, attempt, outbox);
             break;
         case Phase::Acquired:
-            // Not dispatched in time: mayDispatch refuses it from now on, so the key can be given back.
+            // Not dispatched in time. mayDispatch returns false from now on, so the key can be freed.
             this->withdrawAttempt(now, attempt, attempt.ballot.witnesses(), outbox);
             break;
         case Phase::Dispatched:
@@ -227,8 +228,8 @@
             this->evaluate(now, attempt, outbox);
             return;
         }
-        // Who is silent for a whole retry delay counts as dead here: two attempts that each wait for a dead witness
-        // would otherwise block each other until both time out.
+        // A witness that has not answered within the retry delay is treated as dead. Otherwise two attempts that each
+        // wait for a dead witness would block each other until both time out.
         if (this->hasSmallerRival(attempt, count)) {
             this->backOff(now, attempt, count, outbox);
             return;
@@ -317,9 +318,11 @@
 {
     const Attempt *known = this->d->find(claim.attempt);
     if (known != nullptr && (known->phase != Phase::Withdrawn || known->claim.key != claim.key)) {
-        throw Error(Step::Claim, this->d->self.value, "attempt " + claim.attempt.toHex() + " began already");
+        throw Error(Step::Claim,
+                    this->d->self.value,
+                    "attempt " + claim.attempt.toHex() + " already has an active claim or belongs to another key");
     }
-    // A later round, so that a withdrawal of the earlier one that is still on its way frees nothing.
+    // A later round, so that a withdrawal of the earlier round that is still in flight does not free the key.
     const std::uint32_t round = known == nullptr ? 1 : known->round + 1;
     const WitnessQuorum quorum = this->d->parameters.quorumFor(this->d->list.names.size());
     Attempt &attempt = this->d->attempts[claim.attempt];
@@ -340,8 +343,8 @@
     }
     const bool isOldRound = vote.round < attempt->round || attempt->phase == Phase::BackingOff;
     if (attempt->phase == Phase::Withdrawn || (isOldRound && vote.round <= attempt->round)) {
-        // The withdrawal was lost or overtaken: without another the key would stay blocked until it expires. A witness
-        // that abstains remembers the claim too, and would later name this attempt as the holder.
+        // The withdrawal was lost, or has not arrived yet. Without another one the key would stay blocked until the
+        // claim expires. A witness that abstains records the claim too, and would later name this attempt as holder.
         if (vote.verdict == ClaimVerdict::Granted || vote.verdict == ClaimVerdict::Abstains) {
             outbox.push_back(Outgoing{from, ClaimWithdraw{vote.key, vote.attempt, vote.round}});
         }
--- a/sequoiausher/coordination/claims/claimanttest.cpp
+++ b/sequoiausher/coordination/claims/claimanttest.cpp
@@ -14,7 +14,7 @@
 const RequestId larger{0, 9};
 const Millis start{1000};
 
-/** A claimant whose five witnesses answer by hand. */
+/** A claimant with five witnesses, whose votes the test supplies. */
 struct Fixture
 {
     Fixture() : claimant(InstanceId{"r1"}, ClaimParameters{})
@@ -71,7 +71,7 @@
 
 } // namespace
 
-TEST_CASE("four of five grants acquire, and allow one dispatch")
+TEST_CASE("four of five grants acquire the key and allow one dispatch")
 {
     Fixture f;
     CHECK(f.witnesses.size() == 5);
@@ -89,9 +89,9 @@
     CHECK(f.claimant.size() == 0);
 }
 
-// Symptom: two runs, minutes apart. Events: the process pauses between the quorum and the dispatch. Cause: it still
-// acts on votes that the witnesses may have forgotten.
-TEST_CASE("a process that paused does not dispatch")
+// Guards against two runs of a key, minutes apart: a process that was paused between the quorum and the dispatch uses
+// votes that the witnesses may have forgotten.
+TEST_CASE("a process that was paused beyond the dispatch window does not dispatch")
 {
     const Millis late = start + ClaimParameters{}.dispatchWindow;
     SUBCASE("after the quorum")
@@ -116,7 +116,7 @@
     }
 }
 
-TEST_CASE("who holds the key at a quorum is named at once")
+TEST_CASE("an attempt that holds the key at a quorum is reported at once")
 {
     Fixture f;
     for (std::size_t i = 0; i < 4; ++i) {
@@ -128,11 +128,11 @@
     CHECK(outcome.holder == InstanceId{"other"});
 }
 
-// Symptom: after a rolling update a retry hears 'unknown', though the key's answer is kept.
-// Events: one of a key's witnesses grants a second attempt, or, having just started, withholds its vote but remembers
-// it. The others name the first attempt, which the second one follows. Once these were replaced, witnesses that learnt
-// from that one name the second attempt as holder. Cause: it did not withdraw, since the first one has a quorum.
-TEST_CASE("an attempt that follows another withdraws where a witness has recorded it")
+// Guards against a retry that is answered with 'unknown' after a rolling update, although the key's answer is kept.
+// One witness of the key grants a second attempt, or, since it has just started, abstains but records it. The other
+// witnesses name the first attempt, to which the second one attaches without a withdrawal. Once these witnesses have
+// been replaced, those that pulled the claims of the first witness name the second attempt as the holder.
+TEST_CASE("an attempt that finds the key held withdraws from the witness that has recorded it")
 {
     Fixture f;
     SUBCASE("granted before the others named the holder")
@@ -142,14 +142,14 @@
             f.vote(i, ClaimVerdict::Held, start + Millis{2}, smaller);
         }
     }
-    SUBCASE("withheld before that")
+    SUBCASE("abstained before that")
     {
         f.vote(4, ClaimVerdict::Abstains, start + Millis{1});
         for (std::size_t i = 0; i < 4; ++i) {
             f.vote(i, ClaimVerdict::Held, start + Millis{2}, smaller);
         }
     }
-    SUBCASE("withheld after that")
+    SUBCASE("abstained after that")
     {
         for (std::size_t i = 0; i < 4; ++i) {
             f.vote(i, ClaimVerdict::Held, start + Millis{2}, smaller);
@@ -161,7 +161,7 @@
     CHECK(f.only().kind == ClaimOutcomeKind::HeldBy);
 }
 
-TEST_CASE("a key used for another body is refused as such")
+TEST_CASE("a key that was used for another body ends as BodyDiffers")
 {
     Fixture f;
     for (std::size_t i = 0; i < 4; ++i) {
@@ -170,9 +170,8 @@
     CHECK(f.only().kind == ClaimOutcomeKind::BodyDiffers);
 }
 
-// Symptom: a client waits for a second and is then refused, though nothing could have changed. Cause: the claimant
-// waits for votes that cannot make a quorum.
-TEST_CASE("two abstentions refuse at once, with the time to come back")
+// Guards against a refusal that comes only after a second: the claimant waits for votes that cannot make a quorum.
+TEST_CASE("two abstentions end the claim at once")
 {
     Fixture f;
     f.vote(0, ClaimVerdict::Abstains, start + Millis{2});
@@ -181,7 +180,7 @@
     CHECK(f.sent<ClaimWithdraw>() == 5);
 }
 
-TEST_CASE("silence ends in a refusal after the claim's time")
+TEST_CASE("a claim without a quorum is refused after claimTimeout")
 {
     Fixture f;
     f.grant(3, start + Millis{2});
@@ -194,9 +193,9 @@
     CHECK(outcome.retryAfter > Millis{0});
 }
 
-// Symptom: both calls of a client wait until they time out. Events: two attempts reach two and three witnesses.
-// Cause: neither gives way.
-TEST_CASE("the larger of two attempts gives way, the smaller asks again")
+// Guards against two calls of a client that both time out: two attempts reach two and three witnesses, and neither
+// withdraws.
+TEST_CASE("the attempt with the larger id backs off, the one with the smaller id asks again")
 {
     Fixture f;
     f.grant(2, start + Millis{2});
@@ -204,7 +203,7 @@
     {
         f.vote(2, ClaimVerdict::Held, start + Millis{2}, smaller);
         f.vote(3, ClaimVerdict::Held, start + Millis{2}, smaller);
-        CHECK(f.sent<ClaimWithdraw>() == 3); // Two that granted and one that may.
+        CHECK(f.sent<ClaimWithdraw>() == 3); // Two witnesses that granted, and one that has not answered.
         f.tick(f.claimant.nextDeadline());
         CHECK(f.sent<ClaimRequest>() == 5);
     }
@@ -222,9 +221,9 @@
     }
 }
 
-// Symptom: a key that nobody runs stays blocked. Events: the withdrawal is lost on its way to one witness. Cause: it
-// is not acknowledged.
-TEST_CASE("a lost withdrawal is repeated, and answers every late grant")
+// Guards against a key that stays blocked although no attempt runs: the withdrawal to one witness is lost, and
+// withdrawals are not acknowledged.
+TEST_CASE("a withdrawal is repeated, and sent in answer to every late grant")
 {
     Fixture f;
     f.grant(4, start + Millis{2});
@@ -256,9 +255,9 @@
 
 TEST_CASE("an attempt that found the key held begins again in a later round")
 {
-    // Symptom: a retry runs, and its claim is gone. Sequence: its first round ended as held by another, which then
-    // said that it had not run; the retry claims anew, and the withdrawal of its first round arrives after that.
-    // Cause: a withdrawal that does not say of which round it is.
+    // Guards against a running attempt whose claim was removed. Its first round ended as held by another attempt, which
+    // turned out not to have run. The attempt claims the key again, and then the withdrawal of its first round arrives.
+    // The withdrawal has to name its round.
     Fixture fixture;
     for (std::size_t i = 0; i < 4; ++i) {
         fixture.vote(i, ClaimVerdict::Held, start, smaller);
@@ -275,17 +274,17 @@
     CHECK(fixture.claimant.mayDispatch(mine, start + Millis{30}));
 }
 
-TEST_CASE("an attempt begins once")
+TEST_CASE("an attempt with an active claim cannot begin again")
 {
     Fixture f;
     CHECK_THROWS_AS(f.claimant.begin(start, Claim{key, mine, 1}, f.outbox), Error);
 }
 
-TEST_CASE("an attempt that never reached its target may go to another, under the same deadline")
+TEST_CASE("an attempt that never reached its target may be sent to another one before the same deadline")
 {
-    // Symptom: a keyed call is refused although other targets are free. Sequence: the first target refuses the
-    // connection; the entry asks whether it may dispatch again. Cause: one dispatch was taken for the only one, though
-    // nothing had been sent. A pause in between must still stop it: the witnesses may have forgotten.
+    // Guards against the refusal of a keyed call although other targets are free: the first target refuses the
+    // connection, and the entry router may not dispatch again although nothing was sent. After a pause beyond the
+    // deadline it must not, since the witnesses may have forgotten the claim.
     Fixture f;
     f.grant(4, start + Millis{2});
     CHECK_FALSE(f.claimant.mayRedispatch(mine, start + Millis{3}));
--- a/sequoiausher/coordination/claims/claimattempt.h
+++ b/sequoiausher/coordination/claims/claimattempt.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// One attempt as a claimant keeps it; for claimant.cpp alone.
+// The state of one attempt in a Claimant. Internal to claimant.cpp.
 //
 //     Internal::Attempt attempt;
 //     attempt.ballot = Ballot(witnesses, quorum);
@@ -10,18 +10,18 @@
 
 namespace Sequoiausher::Internal {
 
-/** Where an attempt stands. */
+/** The state of an attempt. */
 enum class Phase {
     Asking,
-    /** Withdrawn in favour of a smaller attempt; the next round begins at the timer. */
+    /** Withdrawn in favour of an attempt with a smaller id; the next round begins when the timer expires. */
     BackingOff,
     Acquired,
     Dispatched,
-    /** Surely not dispatched, ever; kept to answer late grants. */
+    /** Will never be dispatched; kept in order to answer late grants with a withdrawal. */
     Withdrawn,
 };
 
-/** A claim under way, or withdrawn lately. */
+/** A claim in progress, or one that was withdrawn recently. */
 struct Attempt
 {
     Claim claim;
@@ -36,7 +36,7 @@
     int repeatsSent = 0;
 };
 
-/** When an attempt next has work. */
+/** When an attempt has its next action. */
 struct Timer
 {
     Millis at;
@@ -45,7 +45,7 @@
     auto operator<=>(const Timer &) const = default;
 };
 
-/** Whether the key counts as running here. */
+/** Whether an attempt in this phase counts its key as running on this instance. */
 constexpr bool isActive(Phase phase)
 {
     return phase != Phase::Withdrawn;
--- a/sequoiausher/coordination/claims/claimdifferentialtest.cpp
+++ b/sequoiausher/coordination/claims/claimdifferentialtest.cpp
@@ -1,4 +1,4 @@
-// Claims against a naive version: one map that sees every call.
+// Compares claims with a reference implementation: one map that receives every call.
 
 #include "sequoiausher/coordination/claims/claimnetwork.h"
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** What the all-seeing map knows of a key. */
+/** The claim of a key in the reference implementation. */
 struct KnownClaim
 {
     RequestId attempt;
@@ -20,7 +20,7 @@
     Millis until;
 };
 
-/** Decides each call at once and remembers it for lifetime. */
+/** Decides each call at once, and stores its claim for lifetime. */
 class ReferenceClaims
 {
 public:
@@ -50,7 +50,7 @@
 
 } // namespace
 
-TEST_CASE("calls one after another end as with a single map that sees them all")
+TEST_CASE("sequential calls have the same results as with a single map of all claims")
 {
     CHECK(rc::check([]() {
         std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
@@ -77,7 +77,8 @@
             if (expected != ClaimOutcomeKind::Acquired) {
                 RC_ASSERT(outcome.heldBy == reference.knownClaim(key).attempt);
             }
-            // Soon, or surely after the key is forgotten: between lies the dispatch window, where both are right.
+            // Soon, or certainly after the claim has expired. Within the dispatch window in between both results are
+            // right.
             network.run(network.now() + (below(6) == 0 ? Millis{40000} : Millis{below(500) == 0 ? 1 : 2}));
         }
         RC_ASSERT(network.report().doubleRuns == 0U);
--- a/sequoiausher/coordination/claims/claimnetwork.cpp
+++ b/sequoiausher/coordination/claims/claimnetwork.cpp
@@ -19,7 +19,7 @@
     std::unique_ptr<Claimant> claimant;
     std::unique_ptr<Witness> witness;
     InstanceList list;
-    /** Grows with each process, so that what was meant for an earlier one is dropped. */
+    /** Number of the process, so that events meant for an earlier process are dropped. */
     int incarnation = 0;
     bool up = false;
     Millis pausedUntil;
@@ -63,7 +63,7 @@
         this->events.push(Event{at, ++this->order, std::move(action)});
     }
 
-    /** Runs action in the process that is there now, after its pause if it has one; never in a later process. */
+    /** Runs action in the current process, after its pause if it is paused; never in a later process. */
     void runInProcess(std::size_t router, Millis at, std::function<void(Node &)> action)
     {
         const int incarnation = this->nodes[router].incarnation;
@@ -199,7 +199,7 @@
         this->runInProcess(router, this->now + admission, [this, router, outcome](Node &node) {
             Outbox outbox;
             if (this->drawChance(this->settings.admissionRefusesPerMille)) {
-                // Told to the client at once, before the key is given back.
+                // The client is answered at once, before the claim is withdrawn.
                 this->recordRefusal(
                     outcome.key, outcome.attempt, node.claimant->isKeyUnrun(outcome.attempt, this->now));
                 node.claimant->withdraw(this->now, outcome.attempt, outbox);
--- a/sequoiausher/coordination/claims/claimparameters.cpp
+++ b/sequoiausher/coordination/claims/claimparameters.cpp
@@ -33,6 +33,7 @@
 
 WitnessQuorum::Handover WitnessQuorum::handover() const
 {
+    // The witness that pulls the claims, and one other member of the quorum.
     constexpr std::size_t minHandoverMembers = 2;
     if (this->quorum < minHandoverMembers) {
         return Handover{};
@@ -81,7 +82,7 @@
     const bool positive = std::all_of(
         durations.begin(), durations.end(), [&](const auto span) { return parameters.*span > Millis{0}; });
     if (!positive || parameters.maxRecords == 0 || parameters.pageRecords == 0) {
-        throwSettingsError("every time and bound must be larger than 0");
+        throwSettingsError("every time limit and bound must be larger than 0");
     }
 }
 
--- a/sequoiausher/coordination/claims/claimparameters.h
+++ b/sequoiausher/coordination/claims/claimparameters.h
@@ -1,14 +1,15 @@
 #pragma once
 
-// The numbers by which idempotency keys are claimed: how many witnesses, which quorum, and how long things last.
+// Parameters of claims on idempotency keys: the number of witnesses, the quorum, time limits and bounds on memory.
 //
 //     ClaimParameters parameters;             // parseRouterSettings() fills it from [claims]
 //     checkClaimParameters(parameters);
 //     parameters.faultTolerance();                 // 2
 //
-// Two attempts of one key can both reach a quorum only if no witness that voted for the first and remembers it is
-// asked by the second. With witness sets that differ in d members and f voting witnesses that forgot, that is ruled
-// out while 2 * quorum > witnesses + d + f. The shipped 5 and 4 allow d + f = 2.
+// Two attempts of one key can both reach a quorum only if the second attempt asks no witness that voted for the first
+// attempt and still remembers that vote. If the two witness sets differ in d members, and f of the voting witnesses
+// have forgotten their vote, both quorums share a witness that remembers while 2 * quorum > witnesses + d + f. The
+// defaults of 5 witnesses and a quorum of 4 allow d + f = 2.
 
 #include "sequoiausher/base/millis.h"
 
@@ -16,7 +17,7 @@
 
 namespace Sequoiausher {
 
-/** How many witnesses a key has, and how many of them must grant. */
+/** The number of witnesses of a key, and how many of them must grant a claim. */
 struct WitnessQuorum
 {
     std::size_t witnesses = 0;
@@ -28,10 +29,11 @@
     std::size_t faultTolerance() const;
 
     /**
-     * How many of a key's other witnesses may be missing from a hand-over: quorum - 2 - d, with d = 1 where the
-     * quorum leaves room for it. Of the quorum of a dispatched attempt, quorum - 1 members are others than the
-     * witness that learns; d of them may be outside its list, and one must remain that it asked. False in possible
-     * where the quorum is 1: nobody else knows, and only waiting helps.
+     * How many of a key's other witnesses may be missing from a hand-over: quorum - 2 - d, with d = 1 if the quorum
+     * is large enough. Apart from the witness that pulls the claims, the quorum of a dispatched attempt has
+     * quorum - 1 members. Up to d of these may be absent from the witness's list, and the witness must have asked at
+     * least one of the others. With a quorum of 1, possible is false: no other witness has the claim, and the witness
+     * has to wait until it has expired.
      */
     struct Handover
     {
@@ -41,51 +43,54 @@
     Handover handover() const;
 };
 
-/** Settings of claims, checked by checkClaimParameters. The times are spans. */
+/** Settings of claims, checked by checkClaimParameters. All times are durations. */
 struct ClaimParameters
 {
     std::size_t witnesses = 5;
     std::size_t quorum = 4;
-    /** A key that was dispatched is not dispatched again within this time. */
+    /** A key is not dispatched again within this time after a dispatch. */
     Millis lifetime{600000};
-    /** An attempt is dispatched at most this long after it began to ask for the votes that it counts. */
+    /** Time limit for the dispatch, counted from the start of the round whose votes the attempt counts. */
     Millis dispatchWindow{2000};
-    /** When a claimant that has no quorum and no hope for it is refused at the latest. */
+    /** Time limit for a claim: an attempt without a quorum is refused after this time at the latest. */
     Millis claimTimeout{1000};
-    /** When unanswered claims are sent again. */
+    /** Delay before unanswered claim requests are sent again. */
     Millis retryDelay{150};
-    /** How long the loser of a contention waits before it asks again, and the winner before it re-asks. */
+    /**
+     * Delay before two contending attempts ask again. The attempt that backs off waits at least twice as long, the
+     * other one exactly this long.
+     */
     Millis contentionDelay{40};
-    /** How long a fresh witness waits before it asks the others; longer than dispatchWindow. */
+    /** How long a witness waits after a restart or a change of the list before it pulls claims; > dispatchWindow. */
     Millis settleTime{3000};
-    /** How long a withdrawal is remembered against a claim that it overtook. */
+    /** How long a withdrawal is remembered, in case that its claim request arrives later. */
     Millis tombstoneLifetime{60000};
-    /** What a refusal names where no witness knows better. */
+    /** Retry delay named in a refusal, unless the witnesses name a longer one. */
     Millis retryAfter{1000};
-    /** Claims and withdrawals that a witness holds; beyond them it abstains for new keys. */
+    /** Bound on the claims and withdrawals that a witness holds; a full witness abstains for new keys. */
     std::size_t maxRecords = 400000;
     /** Records in one page of a hand-over. */
     std::size_t pageRecords = 256;
-    /** Where there are more instances to ask, a witness waits for claimRetention() in place of asking. */
+    /** With more instances to pull from, a witness waits for claimRetention() instead of pulling claims. */
     std::size_t maxHandoverInstances = 64;
 
     bool operator==(const ClaimParameters &) const = default;
 
-    /** How long a witness remembers: a dispatch may come dispatchWindow after the vote. */
+    /** How long a witness remembers a claim: lifetime, plus dispatchWindow between a vote and the dispatch. */
     Millis claimRetention() const;
 
-    /** d + f of a fleet that has enough instances. */
+    /** The largest d + f that is safe in a fleet with at least as many instances as witnesses. */
     std::size_t faultTolerance() const;
 
     /**
-     * The witnesses and the quorum for a list of instances. With n < witnesses: n witnesses, and
-     * quorum = min(n, floor((n + faultTolerance) / 2) + 1), the least that tolerates as much, or all of them. An empty
-     * list has quorum 1 of no witnesses, which is never reached.
+     * The witnesses and the quorum for a list of instances. With n < witnesses, there are n witnesses, and
+     * quorum = min(n, floor((n + faultTolerance()) / 2) + 1): the smallest quorum with the same fault tolerance, or
+     * all n. An empty list has no witnesses and a quorum of 1, which is never reached.
      */
     WitnessQuorum quorumFor(std::size_t instances) const;
 };
 
-/** @throws Error (Step::Settings) where two quorums need not meet, or the times contradict each other. */
+/** @throws Error (Step::Settings) if two quorums need not share a witness, or if the times contradict each other. */
 void checkClaimParameters(const ClaimParameters &parameters);
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/claims/claimparameterstest.cpp
+++ b/sequoiausher/coordination/claims/claimparameterstest.cpp
@@ -6,7 +6,7 @@
 
 using namespace Sequoiausher;
 
-TEST_CASE("the shipped numbers tolerate two forgotten or differing witnesses")
+TEST_CASE("the default parameters tolerate two witnesses that differ or have lost a claim")
 {
     const ClaimParameters shipped;
     CHECK_NOTHROW(checkClaimParameters(shipped));
@@ -15,7 +15,7 @@
     CHECK_FALSE(shipped.quorumFor(1).handover().possible);
 }
 
-TEST_CASE("fleets smaller than the witness set keep quorums that meet")
+TEST_CASE("in fleets smaller than the witness set, two quorums still share a witness")
 {
     const ClaimParameters shipped;
     const std::size_t quorums[] = {1, 1, 2, 3, 4, 4, 4, 4};
@@ -27,7 +27,7 @@
 
 TEST_CASE("settings that contradict each other are refused")
 {
-    // As texts they stand in routersettingstest, beside the values that are refused by themselves.
+    // routersettingstest tests these as texts, and also the values that are invalid by themselves.
     using Change = void (*)(ClaimParameters &);
     const Change bad[] = {
         [](ClaimParameters &p) { p.quorum = 2; },
--- a/sequoiausher/coordination/claims/claimpropertytest.cpp
+++ b/sequoiausher/coordination/claims/claimpropertytest.cpp
@@ -26,18 +26,18 @@
     return parameters;
 }
 
-/** Which faults a schedule may have. */
+/** The faults that a schedule may contain. */
 struct Faults
 {
     bool messages = true;
     bool pauses = true;
     bool restarts = true;
     bool splits = true;
-    /** By how many members the lists of two routers may differ. */
+    /** The number of members by which the lists of two routers may differ. */
     std::size_t listDifference = 1;
 };
 
-/** Plays one random schedule and returns what came of it. */
+/** Runs one random schedule and returns the network's report. */
 class Schedule
 {
 public:
@@ -54,7 +54,7 @@
         constexpr int steps = 60;
         for (int step = 0; step < steps; ++step) {
             this->act();
-            // Bursts within the time of a claim, and gaps as long as a restart takes.
+            // Bursts within the duration of a claim, and pauses as long as a restart takes.
             this->network.run(this->network.now() + Millis{this->below(3) == 0 ? this->below(3000) : this->below(30)});
         }
         this->network.run(this->network.now() + seconds(3));
@@ -93,7 +93,7 @@
         switch (this->below(kinds)) {
         case 0:
             if (this->faults.pauses) {
-                // Now and then for longer than witnesses remember.
+                // Occasionally for longer than witnesses remember claims.
                 this->network.pause(at, Millis{this->below(this->below(8) == 0 ? 30000 : 5000)});
             }
             break;
@@ -129,7 +129,7 @@
         }
     }
 
-    /** Lists lack up to listDifference of the same last routers, which go on running. */
+    /** The list lacks up to listDifference of the last routers, which continue to run. */
     void readList(std::size_t at)
     {
         std::set<std::size_t> listed;
@@ -165,7 +165,7 @@
     return settings;
 }
 
-/** How many of count schedules broke a promise. */
+/** The number of schedules, out of count, that violated a guarantee. */
 std::size_t countFailedSchedules(std::uint64_t count, const Faults &faults, const NetworkSettings &settings)
 {
     std::size_t failed = 0;
@@ -189,15 +189,15 @@
 
 } // namespace
 
-// Symptom: two plates with one registration. Events: loss, doubling, reordering, pauses, restarts with lost memory,
-// splits, and lists that differ by one instance, in any order. Cause ruled out: quorums that do not meet.
-TEST_CASE("no key is dispatched twice and no refusal lies, with lists that differ by one")
+// Guards against two runs of one key because two quorums share no witness. Faults, in any order: lost, duplicate and
+// reordered messages, pauses, restarts with lost claims, partitions, and lists that differ by one instance.
+TEST_CASE("no key is dispatched twice and no refusal is wrong, with lists that differ by one")
 {
     CHECK(holds(Faults{}, shortNetwork()));
 }
 
-// Symptom: as above. Events: as above, lists that differ by two instances, but no witness loses its memory.
-TEST_CASE("no key is dispatched twice and no refusal lies, with lists that differ by two and no restarts")
+// As above with lists that differ by two instances, but without restarts, so that no witness loses its claims.
+TEST_CASE("no key is dispatched twice and no refusal is wrong, with lists that differ by two and no restarts")
 {
     Faults faults;
     faults.restarts = false;
@@ -205,8 +205,8 @@
     CHECK(holds(faults, shortNetwork()));
 }
 
-// Symptom: two dispatches of a key. Events: a witness restarts between two attempts. Cause: it votes at once, as if
-// it remembered. The checker must see it, or the properties above prove nothing.
+// Injects a fault that causes two dispatches of a key: a witness restarts between two attempts, and votes at once as if
+// it had not lost its claims. If the checker did not detect it, the properties above would prove nothing.
 TEST_CASE("the checker catches witnesses that vote at once after a restart")
 {
     NetworkSettings settings = shortNetwork();
@@ -217,8 +217,8 @@
     CHECK(failed > 0);
 }
 
-// Symptom: two dispatches of a key. Events: two entries read lists that differ, and lose some messages. Cause: with
-// 3 of 5, two quorums meet in one witness only, which the difference takes away.
+// Injects a fault that causes two dispatches of a key: two entry routers have different lists, and messages are lost.
+// With a quorum of 3 of 5, two quorums share only one witness, and the difference of the lists removes that one.
 TEST_CASE("the checker catches a quorum that is too small for differing lists")
 {
     NetworkSettings settings = shortNetwork();
--- a/sequoiausher/coordination/claims/claimscenariotest.cpp
+++ b/sequoiausher/coordination/claims/claimscenariotest.cpp
@@ -1,4 +1,4 @@
-// What operators do to a fleet, and what claims make of it.
+// Operations on a fleet, such as replacements and restarts, and their effect on claims.
 
 #include "sequoiausher/coordination/claims/claimnetwork.h"
 
@@ -12,7 +12,7 @@
 
 constexpr std::uint64_t keyCount = 200;
 
-/** Routers from first to last less one. */
+/** The routers from first up to, but not including, last. */
 std::set<std::size_t> range(std::size_t first, std::size_t last)
 {
     std::set<std::size_t> routers;
@@ -45,9 +45,9 @@
 
 } // namespace
 
-// Symptom: refusals while six of seven routers work. Events: one router dies and stays on the platform's list. Cause
-// ruled out: a quorum that needs every witness.
-TEST_CASE("one of seven dead refuses nothing")
+// Guards against refusals while six of seven routers work: one router dies and stays on the platform's list, and a
+// quorum needs every witness.
+TEST_CASE("with one of seven routers dead no request is refused")
 {
     for (std::size_t dead = 0; dead < 7; ++dead) {
         CAPTURE(dead);
@@ -61,9 +61,9 @@
     }
 }
 
-// Symptom: after a fleet was replaced, a retry runs again. Events: seven routers are replaced one after another by
-// routers of other names. Cause ruled out: the last that remembers a claim leaves before the next has learnt it.
-TEST_CASE("a rolling replacement under new names forgets nothing and refuses nothing")
+// Guards against a retry that runs again after the replacement of a fleet: seven routers are replaced one after another
+// by routers of other names, and the last router with a claim stops before another one has received it.
+TEST_CASE("a rolling replacement under new names loses no claim and refuses no request")
 {
     NetworkSettings settings;
     settings.routers = 14;
@@ -76,7 +76,7 @@
         network.handOverClaims(leaving);
         network.restart(leaving + 7);
         setLists(network, listed);
-        // It drains for as long as a hand-over takes, then stops.
+        // The router drains for as long as a hand-over takes, then stops.
         network.run(network.now() + Millis{4000});
         network.handOverClaims(leaving);
         network.run(network.now() + Millis{100});
@@ -90,9 +90,9 @@
     CHECK(network.report().falseNotRun == 0);
 }
 
-// Symptom: after a power cut, retries run again. Events: every router restarts at once. Cause ruled out: witnesses
-// that vote from an empty memory.
-TEST_CASE("a cold start refuses keyed requests for as long as claims live, and says for how long")
+// Guards against retries that run again after a power cut: all routers restart at once, and the witnesses vote without
+// their lost claims.
+TEST_CASE("after a cold start keyed requests are refused until old claims have expired, with that time as retryAfter")
 {
     ClaimNetwork network(NetworkSettings{});
     callKeys(network, range(0, 7), 0, 10);
@@ -106,7 +106,7 @@
     callKeys(network, range(0, 7), 0, 10);
     CHECK(network.report().refused == 10);
     const AttemptEnd last = network.ends().back();
-    // The wait is counted from the vote, which took a few milliseconds to arrive.
+    // retryAfter is counted from the vote, which took a few milliseconds to arrive.
     const Millis comeBack = last.at + last.outcome.retryAfter;
     CHECK(comeBack >= restarted + parameters.claimRetention());
     CHECK(comeBack <= restarted + parameters.claimRetention() + Millis{10});
@@ -116,7 +116,7 @@
     CHECK(network.report().doubleRuns == 0);
 }
 
-// Symptom: a restart of one router makes it useless for ten minutes. Cause ruled out: it only waits, and does not ask.
+// Guards against a restarted router whose witness abstains for ten minutes, because it waits instead of pulling claims.
 TEST_CASE("a restarted router votes again after the settle time, also while another is dead")
 {
     ClaimNetwork network(NetworkSettings{});
@@ -133,9 +133,9 @@
     CHECK(network.report().doubleRuns == 0);
 }
 
-// Symptom: a key runs on both sides of a split, or on neither. Events: the fleet splits in 5 and 2. Cause ruled out:
-// a minority that counts itself a quorum.
-TEST_CASE("in a split the minority refuses, and never runs what the majority runs")
+// Guards against a key that runs on both sides of a network partition, or on neither: the fleet is split into 5 and 2
+// routers, and the minority counts itself as a quorum.
+TEST_CASE("in a partition the minority refuses requests, and runs no key of the majority")
 {
     ClaimNetwork network(NetworkSettings{});
     network.split({0, 0, 0, 0, 0, 1, 1});
@@ -148,7 +148,7 @@
     CHECK(network.report().falseNotRun == 0);
 }
 
-TEST_CASE("nine calls of one key at nine routers at once run it once, and all others find it")
+TEST_CASE("of nine concurrent calls of one key at nine routers one runs, and the others find it as the holder")
 {
     NetworkSettings settings;
     settings.routers = 9;
--- a/sequoiausher/coordination/claims/claimstore.cpp
+++ b/sequoiausher/coordination/claims/claimstore.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** One attempt's claim, or its withdrawal. */
+/** The claim of one attempt, or its withdrawal. */
 struct Entry
 {
     ClaimRecord record;
@@ -16,7 +16,7 @@
     bool withdrawn = false;
 };
 
-/** A key whose entries may expire at a time. */
+/** The time at which entries of a key may expire. */
 struct Expiry
 {
     Millis at;
@@ -117,8 +117,8 @@
     this->expire(now);
     Entry *known = this->d->find(key, attempt);
     if (known == nullptr) {
-        // Without room the withdrawal is not remembered: a claim that it overtook then blocks the key until it
-        // expires, which refuses work but never doubles it.
+        // A full store does not remember the withdrawal. A claim request that arrives later then blocks the key until
+        // it expires: requests are refused, but none is dispatched twice.
         this->d->insert(Entry{ClaimRecord{key, attempt, round, 0, {}, {}}, now, true});
         return;
     }
@@ -159,7 +159,7 @@
             this->d->entries.erase(found);
             continue;
         }
-        // A renewed claim outlived the expiry that was noted for it.
+        // A claim that was renewed expires later than the expiry entry that was made for it.
         for (const Entry &entry : list) {
             this->d->expiries.insert(Expiry{this->d->expiryOf(entry), key});
         }
--- a/sequoiausher/coordination/claims/claimstore.h
+++ b/sequoiausher/coordination/claims/claimstore.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// What one witness remembers: the claims of keys until they expire, and withdrawals for a while.
+// The records of one witness: claims until they expire, and withdrawals for a shorter time.
 //
 //     ClaimStore store(maxRecords, claimRetention, tombstoneLifetime);
 //     store.add(now, ClaimRecord{key, attempt, 1, bodyDigest, holder, Millis{0}});
-//     store.findClaims(now, key); // that record
+//     store.findClaims(now, key); // returns the record above
 
 #include "sequoiausher/coordination/messages/claimmessages.h"
 
@@ -13,38 +13,41 @@
 
 namespace Sequoiausher {
 
-/** What became of a claim that was to be remembered. */
+/** The result of ClaimStore::add. */
 enum class StoreResult {
     Stored,
-    /** The same or a later round of the attempt was withdrawn before: the claim came late. */
+    /** Not stored: the withdrawal of the same or a later round of the attempt arrived before the claim. */
     Withdrawn,
-    /** No room; nothing was forgotten for it. */
+    /** Not stored: the store is full. No other record is evicted. */
     Full,
 };
 
-/** Claims and withdrawals by key. Holds several attempts of one key only where hand-overs brought them. */
+/** Claims and withdrawals by key. Holds several claims of one key only if a hand-over added them. */
 class ClaimStore
 {
 public:
-    /** @param maxRecords bound on claims and withdrawals together. */
+    /** @param maxRecords bound on the sum of claims and withdrawals. */
     ClaimStore(std::size_t maxRecords, Millis claimRetention, Millis tombstoneLifetime);
     ~ClaimStore();
     ClaimStore(const ClaimStore &) = delete;
     ClaimStore &operator=(const ClaimStore &) = delete;
 
-    /** The claims of key that have not expired, with their ages at now. */
+    /** The claims of key that have not expired, with their age at now. */
     std::vector<ClaimRecord> findClaims(Millis now, const ClaimKey &key) const;
 
-    /** Remembers record as being record.age old; a known attempt takes the later round and the younger age. */
+    /** Stores a claim that is record.age old. A claim stored before keeps the later round and the smaller age. */
     StoreResult add(Millis now, const ClaimRecord &record);
 
     /**
-     * Forgets the attempt's claim if its round is not later than round, and remembers the withdrawal against a claim
-     * that it overtook: without that, the late claim would block the key until it expires.
+     * Removes the attempt's claim if its round is not later than round, and stores the withdrawal. Without the stored
+     * withdrawal, a claim request that arrives after its withdrawal would block the key until it expires.
      */
     void withdraw(Millis now, const ClaimKey &key, const RequestId &attempt, std::uint32_t round);
 
-    /** Up to count live records from the first key at or after from. A key's records are not split over pages. */
+    /**
+     * About count claims that have not expired, beginning with the first key at or after from. The records of one key
+     * are not split over pages, so that a page may exceed count.
+     */
     struct Page
     {
         std::vector<ClaimRecord> records;
@@ -54,15 +57,15 @@
     template<typename Wanted>
     Page page(Millis now, const ClaimKey &from, std::size_t count, Wanted wanted) const;
 
-    /** Drops what has expired. */
+    /** Removes expired records. */
     void expire(Millis now);
-    /** When expire next has work; Millis::never() without any. */
+    /** When expire is due next; Millis::never() if the store is empty. */
     Millis nextExpiry() const;
-    /** Claims and withdrawals held. */
+    /** The number of stored claims and withdrawals. */
     std::size_t size() const;
 
 private:
-    /** The live records of the first key after from, or at it where inclusive; empty at the end. */
+    /** The unexpired claims of the first key after from (inclusive: at or after from); empty at the end. */
     std::vector<ClaimRecord> recordsFrom(Millis now, const ClaimKey &from, bool inclusive) const;
 
     class Private;
--- a/sequoiausher/coordination/claims/handover.cpp
+++ b/sequoiausher/coordination/claims/handover.cpp
@@ -7,29 +7,29 @@
 
 namespace {
 
-/** A list that was replaced; the empty one stands for the time before the start. */
+/** A list that was replaced. The empty list stands for the time before the start. */
 struct Gap
 {
     InstanceList list;
     Millis since;
-    /** The witness was on that list. */
+    /** Whether this instance was on that list. */
     bool includedSelf = false;
-    /** Hashes of those that were on that list and are not on the present one. */
+    /** Hashes of the instances that were on that list and are not on the present one. */
     std::vector<std::uint64_t> departedHashes;
 };
 
-/** How far one instance has handed over. */
+/** The progress of the hand-over from one other instance. */
 struct Giver
 {
     ClaimKey next;
     Millis lastPullAt;
     bool pullSent = false;
-    /** Questions since it last helped; each doubles the wait for the next. */
+    /** Pulls since the last useful page. Each one doubles the delay before the next pull, within bounds. */
     int pullsWithoutProgress = 0;
     bool handedOver = false;
-    /** It answered while it had no gaps itself. */
+    /** It sent its last page while it had no gaps itself. */
     bool handedOverWithoutGaps = false;
-    /** Its last answer said that it lacks claims itself. */
+    /** Its latest page stated that it has gaps itself. */
     bool hasGaps = false;
 };
 
@@ -54,11 +54,12 @@
         return giver != this->givers.end() && (fresh ? giver->second.handedOverWithoutGaps : giver->second.handedOver);
     }
 
-    /** Whether all of witnesses but maxMissing have handed over; fresh: nothing is known of an earlier life. */
+    /** Whether all of witnesses but maxMissing have handed over; fresh: the gap is that of the start. */
     bool hasEnoughGivers(const std::vector<InstanceId> &witnesses, const WitnessQuorum &quorum, bool fresh) const
     {
         const WitnessQuorum::Handover handover = quorum.handover();
-        // Under a list by which it was no witness, the whole quorum was others, so that any quorum can be asked.
+        // A quorum of 1 rules out a hand-over at a start only. In a list under which this instance was no witness, the
+        // whole quorum consists of other instances, so that a hand-over is possible with any quorum.
         if (fresh && !handover.possible) {
             return false;
         }
@@ -70,8 +71,8 @@
     }
 
     /**
-     * Whether the witness, which is one of key's by the present list, surely was one by the gap's list: nobody who
-     * departed since came before it. Spares the order of a whole list for each gap and vote.
+     * Whether this instance, a witness of key by the present list, certainly was one by the gap's list, since each
+     * instance that has left the list has a smaller weight. Avoids sorting a whole list for each gap and vote.
      */
     bool wasProvablyWitness(const Gap &gap, const ClaimKey &key) const
     {
@@ -83,7 +84,7 @@
                });
     }
 
-    /** For a key that the present list makes the witness's own. */
+    /** Whether the gap is closed for key. This instance has to be a witness of key by the present list. */
     bool isClosedFor(const Gap &gap, const ClaimKey &key) const
     {
         if (this->wasProvablyWitness(gap, key)) {
@@ -97,7 +98,7 @@
         return (!fresh && wasWitness) || this->hasEnoughGivers(witnesses, quorum, fresh);
     }
 
-    /** Drops the gaps that are closed for every key. */
+    /** Removes the gaps that are closed for all keys. */
     void dropClosedGaps(Millis now)
     {
         std::erase_if(this->gaps, [&](const Gap &gap) {
@@ -112,7 +113,7 @@
         }
     }
 
-    /** Renews what is kept of each gap about the present list. */
+    /** Updates the members of each gap that depend on the present list. */
     void updateGaps()
     {
         for (Gap &gap : this->gaps) {
@@ -126,13 +127,13 @@
         }
     }
 
-    /** Hand-overs of a large fleet cost more than they spare. */
+    /** Whether claims are pulled at all: in a large fleet that takes longer than waiting. */
     bool mayPull() const
     {
         return this->givers.size() <= this->parameters.maxHandoverInstances;
     }
 
-    /** Most of those asked know no more of earlier times than this witness: a fleet that started cold. */
+    /** Whether most givers have gaps themselves, as after a cold start of the fleet. */
     bool mostGiversHaveGaps() const
     {
         const auto giversWithGaps = std::count_if(
@@ -157,7 +158,7 @@
         }
     }
 
-    /** Doubles with each question in vain, so that a fleet that knows nothing does not ask itself busy. */
+    /** The delay doubles with each useless pull, so that a fleet without claims is not busy with pulls. */
     Millis nextPullAt(const Giver &giver) const
     {
         constexpr std::int64_t firstRetryFactor = 4;
@@ -181,7 +182,7 @@
     this->d->self = self;
     this->d->parameters = parameters;
     this->d->gaps.push_back(Gap{InstanceList{}, startedAt, false, {}});
-    // Pull numbers of an earlier life are smaller, so that its late pages are told apart.
+    // Pull numbers of an earlier process are smaller, so that late pages for that process are recognised.
     constexpr int pullNumberBitsPerMilli = 10;
     this->d->pull = static_cast<std::uint64_t>(startedAt.count) << pullNumberBitsPerMilli;
     this->d->firstPullAt = startedAt + parameters.settleTime;
@@ -197,7 +198,7 @@
     this->d->dropClosedGaps(now);
     const InstanceList old = this->d->list;
     this->d->list = list;
-    // Where instances were only added, whoever is a key's witness now was one before.
+    // If instances were only added, an instance of the old list that is a witness of a key now was one before.
     const bool onlyAdded = old.contains(this->d->self) && isSubset(old, list);
     if (!old.names.empty() && !onlyAdded) {
         this->d->gaps.push_back(Gap{old, now, false, {}});
--- a/sequoiausher/coordination/claims/handover.h
+++ b/sequoiausher/coordination/claims/handover.h
@@ -1,29 +1,30 @@
 #pragma once
 
-// What a witness may not know, and how it learns it: decides for each key whether the witness may vote, and asks the
-// other instances for the claims that it lacks.
+// Tracks the claims that a witness may have missed: decides for each key whether the witness may vote, and pulls the
+// missing claims from the other instances.
 //
-//     Handover handover(self, parameters, now);       // fresh: knows nothing
+//     Handover handover(self, parameters, now);       // fresh: has no claims
 //     handover.setInstances(now, makeInstanceList(names));
-//     handover.mayVote(now, key);                     // false, until it has learnt or waited long enough
+//     handover.mayVote(now, key);                     // false until enough claims were pulled or time has passed
 //
-// A list that was replaced within the last parameters.claimRetention() is a gap: the witness does not know the claims
-// of the keys that it did not witness under that list. A start is a gap with the empty list: no key was witnessed. A
-// gap closes for a key when
+// A list of instances that was replaced within the last parameters.claimRetention() is a gap: the witness did not
+// receive the claims of keys for which it was no witness under that list. A start is a gap with the empty list, under
+// which it was a witness of no key. A gap closes for a key when
 //   - the witness was among the key's witnesses under the gap's list, or
-//   - claimRetention() has passed since the list was replaced: whatever was claimed then is forgotten by everyone, or
-//   - all but maxMissing of the key's other witnesses handed over what they know, asked settleTime after the gap began.
-//     At a start these are the witnesses by the present list; otherwise those by the gap's list.
+//   - claimRetention() has passed since the list was replaced, so that all claims made under it have expired, or
+//   - all but maxMissing of the key's other witnesses have handed over their claims, pulled settleTime after the gap
+//     began. At a start these are the witnesses by the present list, otherwise those by the gap's list.
 //
-// Why settleTime: an attempt that counted a vote from before the gap is dispatched at most dispatchWindow after that
-// vote, and by then its whole quorum has recorded it. Whoever is asked later than that gives it.
+// The reason for settleTime: an attempt that counted a vote from before the gap is dispatched at most dispatchWindow
+// after that vote, and by then its whole quorum has recorded the claim. An instance that is asked later hands it over.
 //
-// In a fleet of more than maxHandoverInstances nobody is asked, and gaps close by time: each witness then has thousands
-// of claims with each of a thousand others, and asking for them takes longer than waiting.
+// In a fleet of more than maxHandoverInstances no claims are pulled, and gaps close by time: each witness then shares
+// thousands of claims with each of a thousand others, and pulling them takes longer than waiting.
 //
-// What may be missing (WitnessQuorum::handover): with the shipped 5 and 4, one witness of a key, while one of them
-// differs from those that the claim was made with. So one dead instance does not stop a hand-over. Where two of a
-// key's other witnesses cannot be asked, the learner abstains for that key for claimRetention(); its others still vote.
+// How many witnesses may be missing (WitnessQuorum::handover): with 5 witnesses and a quorum of 4, one witness of a
+// key, while another one differs from the witnesses of the claim. One dead instance therefore does not stop a
+// hand-over. If two of a key's other witnesses cannot be asked, the witness abstains for that key for claimRetention();
+// the key's other witnesses still vote.
 
 #include "sequoiausher/coordination/claims/claimparameters.h"
 #include "sequoiausher/coordination/claims/instancelist.h"
@@ -34,14 +35,14 @@
 
 namespace Sequoiausher {
 
-/** A pull to be sent. */
+/** A pull that has to be sent now. */
 struct DuePull
 {
     InstanceId to;
     ClaimPull pull;
 };
 
-/** The gaps in one witness's knowledge. */
+/** The gaps in the claims of one witness. */
 class Handover
 {
 public:
@@ -50,29 +51,30 @@
     Handover(const Handover &) = delete;
     Handover &operator=(const Handover &) = delete;
 
-    /** The platform's list, whenever it is read; the same list again changes nothing. */
+    /** Sets the platform's list of instances. Setting the same list again has no effect. */
     void setInstances(Millis now, const InstanceList &list);
     const InstanceList &instances() const;
 
-    /** Whether this witness is one of the key's by its list and knows every claim of the key that it must. */
+    /** Whether this instance is a witness of key by its list, and no gap is open for the key. */
     bool mayVote(Millis now, const ClaimKey &key) const;
-    /** How long until mayVote is expected to be true. */
+    /** The delay after which mayVote is expected to return true. */
     Millis retryAfter(Millis now, const ClaimKey &key) const;
-    /** Nothing from before its start is known, so what it hands over does not count. */
+    /** Whether the gap of the start is open. A fresh witness's pages do not close the gaps of others. */
     bool isFresh(Millis now) const;
-    /** Some gap is open. */
+    /** Whether any gap is open. */
     bool hasOpenGap(Millis now) const;
 
-    /** Closes the gap of the start; see Witness::assumeNoPriorClaims for when this is safe. */
+    /** Closes the gap of the start. Witness::assumeNoPriorClaims describes when this is safe. */
     void closeStartGap();
 
-    /** The pulls to be sent now; marks them as sent. */
+    /** Returns the pulls that are due, and marks them as sent. */
     std::vector<DuePull> takeDuePulls(Millis now);
-    /** When due or the gaps next change; Millis::never() without any. */
+    /** When the next pull is due or the next gap closes by time; Millis::never() if there is neither. */
     Millis nextDeadline(Millis now) const;
     /**
-     * A page arrived. @param allStored all its records could be stored; otherwise the giver does not count.
-     * @return whether it answers a present pull, so that due has the next page to ask for.
+     * Handles a page of claims from another instance, the giver.
+     * @param allStored whether all its records could be stored; otherwise the page does not count.
+     * @return whether the page answers the current pull, so that takeDuePulls may return the pull of the next page.
      */
     bool receivePage(Millis now, const InstanceId &from, const ClaimPage &page, bool allStored);
 
--- a/sequoiausher/coordination/claims/instancelist.h
+++ b/sequoiausher/coordination/claims/instancelist.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The platform's list of instances, with the hashes that the choice of a key's witnesses needs.
+// The platform's list of instances, with the hashes by which the witnesses of a key are selected.
 //
 //     const InstanceList list = makeInstanceList({InstanceId{"r1"}, InstanceId{"r2"}});
 //     const std::vector<InstanceId> five = list.selectInstances(key, 5);
@@ -13,7 +13,7 @@
 
 namespace Sequoiausher {
 
-/** Instances in the order of their names, without duplicates; built by makeInstanceList. */
+/** Instances sorted by name, without duplicates; built by makeInstanceList. */
 struct InstanceList
 {
     std::vector<InstanceId> names;
@@ -22,16 +22,16 @@
     bool operator==(const InstanceList &) const = default;
 
     bool contains(const InstanceId &instance) const;
-    /** The count instances that come first for key by rendezvous, best first. */
+    /** The count instances with the highest rendezvous weight for key, highest first. */
     std::vector<InstanceId> selectInstances(const ClaimKey &key, std::size_t count) const;
-    /** Whether instance is among them. */
+    /** Whether selectInstances(key, count) contains instance. */
     bool isSelected(const InstanceId &instance, const ClaimKey &key, std::size_t count) const;
 };
 
-/** The hash by which a key's witnesses are ordered, for rendezvousWeight. */
+/** The hash of a key, an argument of rendezvousWeight. */
 std::uint64_t witnessHash(const ClaimKey &key);
 
-/** Sorts names, drops duplicates, and hashes them. */
+/** Sorts names, removes duplicates, and hashes each name. */
 InstanceList makeInstanceList(std::vector<InstanceId> names);
 
 } // namespace Sequoiausher
--- a/sequoiausher/coordination/claims/witness.cpp
+++ b/sequoiausher/coordination/claims/witness.cpp
@@ -27,7 +27,7 @@
         vote.retryAfter = this->handover.retryAfter(now, vote.key);
     }
 
-    /** Fills the vote where another attempt holds the key. */
+    /** Fills in the vote if another attempt holds the key. @return whether one does. */
     static bool fillVoteIfHeld(const std::vector<ClaimRecord> &claims, const ClaimRequest &request, ClaimVote &vote)
     {
         const auto isOther = [&](const ClaimRecord &claim) { return claim.attempt != request.attempt; };
@@ -47,7 +47,7 @@
         if (fillVoteIfHeld(claims, request, vote)) {
             return;
         }
-        // Remembered even where the vote is withheld, so that claims renewed by their holders teach a new witness.
+        // Stored even if the witness abstains, so that a new witness learns the claims that their holders renew.
         const ClaimRecord record{request.key, request.attempt, request.round, request.bodyDigest, from, Millis{0}};
         const bool stored = this->store.add(now, record) == StoreResult::Stored;
         if (stored && this->handover.mayVote(now, request.key)) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Who becomes a witness of the key once this one is off the list; none where all others are witnesses already. */
+    /** The instance that becomes a witness of key once this one leaves the list; none if all others are witnesses. */
     std::optional<InstanceId> nextWitness(const ClaimKey &key) const
     {
         const std::size_t count = this->parameters.quorumFor(this->listWithoutSelf.names.size()).witnesses;
@@ -72,7 +72,7 @@
         return witnesses.size() < this->parameters.witnesses ? std::nullopt : std::optional(witnesses.back());
     }
 
-    /** Who was given claims so lately that some of these may still be withdrawn. */
+    /** Instances that received claims so recently that a claim of key among them may still be withdrawn. */
     std::set<InstanceId> claimRecipients(Millis now, const ClaimKey &key)
     {
         const auto isPast
@@ -89,10 +89,11 @@
     }
 
     /**
-     * A claim that was given to another instance and is withdrawn afterwards: its attempt need not know of that one,
-     * which would hold the claim of an attempt that never ran until it expires, and give it on. A retry would be sent
-     * to that attempt's router and, once that is gone, hear 'unknown' although another attempt's answer is kept. Passed
-     * on only where the claim was still here, so that two instances do not pass it to each other for ever.
+     * Forwards a withdrawal to the instances that received the claim by a hand-over, since the attempt may not count
+     * them as witnesses. Otherwise they would keep the claim of an attempt that never ran until it expires, and hand it
+     * over in turn. A retry would be sent to that attempt's router and, once this router is gone, be answered with
+     * 'unknown' although another attempt's answer is kept. A withdrawal is forwarded only while the claim is stored
+     * here, so that two instances do not forward it to each other forever.
      */
     void forwardWithdrawal(Millis now, const InstanceId &from, const ClaimWithdraw &withdrawal, Outbox &outbox)
     {
@@ -114,9 +115,9 @@
     ClaimParameters parameters;
     ClaimStore store;
     Handover handover;
-    /** The list without this instance, once it leaves; empty before. */
+    /** The list without this instance, set by handOverClaims; empty before. */
     InstanceList listWithoutSelf;
-    /** When each instance last asked for claims. */
+    /** When each instance last pulled claims. */
     std::map<InstanceId, Millis> pulledAt;
 };
 
@@ -153,7 +154,7 @@
     const InstanceList &list = this->d->handover.instances();
     const std::size_t ranks = this->d->parameters.witnesses + this->d->parameters.faultTolerance();
     const bool known = list.contains(from);
-    // Ranks beyond the witnesses, since the other's list may lack instances that are on this one.
+    // More ranks than there are witnesses, since the list of the other instance may lack instances of this one.
     const auto wanted = [&](const ClaimKey &key) { return !known || list.isSelected(from, key, ranks); };
     this->d->pulledAt[from] = now;
     ClaimStore::Page found = this->d->store.page(now, pull.from, this->d->parameters.pageRecords, wanted);
--- a/sequoiausher/coordination/claims/witness.h
+++ b/sequoiausher/coordination/claims/witness.h
@@ -1,19 +1,20 @@
 #pragma once
 
-// One router's part as a witness: it remembers which attempt claimed which idempotency key, and votes on new claims.
+// The witness of one router: records which attempt claimed which idempotency key, and votes on new claims.
 //
 //     Witness witness(self, parameters, now);
-//     witness.setInstances(now, makeInstanceList(names));  // the platform's list, never a suspicion of our own
+//     witness.setInstances(now, makeInstanceList(names));  // the platform's list, without own failure detection
 //     witness.receive(now, from, claimRequest, outbox);    // a ClaimVote goes to from
 //     ... witness.tick(now, outbox) whenever now >= witness.nextDeadline(now)
 //
-// A key is granted to one attempt and to no other until that attempt withdraws or ClaimParameters::claimRetention()
-// passes. A witness abstains where it may have forgotten or never known a claim: see handover.h. It also abstains for
-// new keys while its store is full; it never forgets one claim for another.
+// A witness grants a key to one attempt, and to no other attempt until the first one withdraws or
+// ClaimParameters::claimRetention() has passed. It abstains if it may have lost or never received a claim of the key,
+// see handover.h. It also abstains for new keys while its store is full; it never evicts a claim for another one.
 //
-// What holds, and when (docs/design/at-most-once.md): two quorums of a key meet in a witness that remembers while
-// 2 * quorum > witnesses + d + f. d: members by which the witness sets of two claims differ, without counting those
-// that learnt by hand-over. f: witnesses that vote though they forgot; hand-over and abstaining keep it at 0.
+// Guarantee (docs/design/at-most-once.md): two quorums of a key share a witness that remembers the first claim while
+// 2 * quorum > witnesses + d + f. Here d is the number of members by which the witness sets of two claims differ, not
+// counting members that received the claim by a hand-over. f is the number of witnesses that vote although they have
+// forgotten a claim; hand-overs and abstentions keep f at 0.
 
 #include "sequoiausher/coordination/claims/claimparameters.h"
 #include "sequoiausher/coordination/claims/instancelist.h"
@@ -27,50 +28,52 @@
 class Witness
 {
 public:
-    /** @param startedAt when this process began, on its own monotonic clock. */
+    /** @param startedAt start time of this process on its own monotonic clock. */
     Witness(const InstanceId &self, const ClaimParameters &parameters, Millis startedAt);
     ~Witness();
     Witness(const Witness &) = delete;
     Witness &operator=(const Witness &) = delete;
 
-    /** The platform's list, whenever it is read. */
+    /** Sets the platform's list of instances. Call it whenever the list has been read. */
     void setInstances(Millis now, const InstanceList &list);
 
-    /** Votes to from. A claim held already is told even where the witness abstains from granting. */
+    /** Sends a vote to from. If another attempt holds the key, the vote names it even if this witness may not grant. */
     void receive(Millis now, const InstanceId &from, const ClaimRequest &request, Outbox &outbox);
     /**
-     * Frees the key if the attempt holds it under this or an earlier round; remembered against a late claim. Passed
-     * on to those that were given the claim lately, by leave() or a page.
+     * Frees the key if the attempt holds it in this or an earlier round. The withdrawal is stored in case that its
+     * claim request arrives later, and is forwarded to the instances that recently received the claim by
+     * handOverClaims() or by a page.
      */
     void receive(Millis now, const InstanceId &from, const ClaimWithdraw &withdrawal, Outbox &outbox);
-    /** Hands over one page of what from may have to know. */
+    /** Sends one page of the claims for which from may be a witness. */
     void receive(Millis now, const InstanceId &from, const ClaimPull &pull, Outbox &outbox);
-    /** Takes in a page, asked for or not, and asks for the next. */
+    /** Stores the claims of a page, whether it was requested or not, and requests the next page if there is one. */
     void receive(Millis now, const InstanceId &from, const ClaimPage &page, Outbox &outbox);
 
-    /** Sends the pulls that are due and drops what has expired. */
+    /** Sends the pulls that are due and removes expired records. */
     void tick(Millis now, Outbox &outbox);
-    /** When tick next has work. */
+    /** When tick is due next. */
     Millis nextDeadline(Millis now) const;
 
     /**
-     * On a planned stop: sends every claim to the instance that becomes the key's witness once this one is off the
-     * list. Votes go on; call it when the drain begins and once more just before the process ends.
+     * For a planned stop: sends every claim to the instance that becomes a witness of the key once this one is removed
+     * from the list. The witness continues to vote. Call it when the drain begins, and again just before the process
+     * exits.
      */
     void handOverClaims(Millis now, Outbox &outbox);
 
     /**
-     * Votes at once although fresh. Safe only where the operator says, in the platform's list and for this very
-     * incarnation, that no request was dispatched within the last claimRetention(): a first start of a fleet. A witness
-     * that restarts has another incarnation, so that the same words do not free it.
+     * Lets a fresh witness vote at once. Safe only if the platform's list states, for exactly this incarnation, that
+     * no request was dispatched within the last claimRetention(), as at the first start of a fleet. A restarted witness
+     * has another incarnation, so that the same statement does not apply to it.
      */
     void assumeNoPriorClaims();
 
-    /** Whether it would grant a free key. */
+    /** Whether this witness would grant key if no attempt held it. */
     bool mayVote(Millis now, const ClaimKey &key) const;
-    /** It knows nothing from before its start, and abstains for all keys that it has not learnt. */
+    /** Whether claims from before the start of this process may be missing. A fresh witness abstains for such keys. */
     bool isFresh(Millis now) const;
-    /** Claims and withdrawals held. */
+    /** The number of stored claims and withdrawals. */
     std::size_t size() const;
 
 private:
--- a/sequoiausher/coordination/claims/witnesstest.cpp
+++ b/sequoiausher/coordination/claims/witnesstest.cpp
@@ -22,7 +22,7 @@
     return makeInstanceList(ids);
 }
 
-/** A witness that is asked one thing at a time. */
+/** A witness, and functions that send it one message each. */
 struct Fixture
 {
     explicit Fixture(const ClaimParameters &settings = {}, const std::vector<std::string> &names = {"r1", "r2", "r3"})
@@ -50,7 +50,7 @@
         this->witness.receive(now, entry, ClaimWithdraw{key, attempt, round}, outbox);
     }
 
-    /** Answers every pull that the witness sends. */
+    /** Answers the pulls that the witness sends to givers. */
     void handOver(Millis now, const ClaimPage &answer, const std::vector<InstanceId> &givers)
     {
         Outbox outbox;
@@ -78,7 +78,7 @@
 
 } // namespace
 
-TEST_CASE("a key is one attempt's until it withdraws or is forgotten")
+TEST_CASE("a key is granted to one attempt until it withdraws or its claim expires")
 {
     Fixture f;
     f.witness.assumeNoPriorClaims();
@@ -95,9 +95,9 @@
     CHECK(f.ask(Millis{5} + f.parameters.claimRetention(), first, 2).verdict == ClaimVerdict::Granted);
 }
 
-// Symptom: a key that nobody runs stays blocked until it expires. Events: the withdrawal overtakes its claim. Cause:
-// without a record of the withdrawal the late claim counts.
-TEST_CASE("a withdrawal that overtakes its claim leaves nothing behind")
+// Guards against a key that stays blocked until its claim expires although no attempt runs: the withdrawal arrives
+// before its claim request, and is not recorded.
+TEST_CASE("a claim that arrives after its withdrawal does not hold the key")
 {
     Fixture f;
     f.witness.assumeNoPriorClaims();
@@ -106,8 +106,8 @@
     CHECK(f.ask(Millis{3}, second).verdict == ClaimVerdict::Granted);
 }
 
-// Symptom: two runs. Events: an attempt withdraws round 1, claims again in round 2 and is dispatched; the withdrawal
-// arrives last. Cause: the old withdrawal frees the new claim.
+// Guards against two runs of a key: an attempt withdraws round 1, claims the key again in round 2 and is dispatched.
+// The withdrawal of round 1 arrives last and frees the claim of round 2.
 TEST_CASE("a late withdrawal does not free a later round")
 {
     Fixture f;
@@ -117,9 +117,9 @@
     CHECK(f.ask(Millis{3}, second).verdict == ClaimVerdict::Held);
 }
 
-// Symptom: two runs. Events: a witness restarts and is asked for a key that it granted before. Cause: it votes from
-// an empty memory.
-TEST_CASE("a fresh witness abstains until older claims are forgotten everywhere")
+// Guards against two runs of a key: a witness restarts, and votes on a key that it granted before, without the lost
+// claim.
+TEST_CASE("a fresh witness abstains until all older claims have expired")
 {
     Fixture f;
     const ClaimVote vote = f.ask(Millis{1}, first);
@@ -130,7 +130,7 @@
     CHECK(f.ask(forgotten, first).verdict == ClaimVerdict::Granted);
 }
 
-TEST_CASE("a fresh witness votes once it learnt, and knows what it learnt")
+TEST_CASE("a fresh witness votes once it has received the claims of the others, and keeps them")
 {
     Fixture f;
     const Millis settled = f.parameters.settleTime;
@@ -144,7 +144,7 @@
     CHECK(f.askFor(settled, ClaimRequest{ClaimKey{1, 1}, second, 1, 1}).verdict == ClaimVerdict::Granted);
 }
 
-TEST_CASE("what does not count towards a hand-over")
+TEST_CASE("pages that do not count towards a hand-over")
 {
     struct Row
     {
@@ -156,9 +156,9 @@
     const InstanceId r2{"r2"};
     const InstanceId r3{"r3"};
     const Row rows[] = {
-        {"givers that may have forgotten", true, false, {r2, r3}},
-        {"givers that learn themselves", false, true, {r2, r3}},
-        {"one of two, where the quorum of three spares none", false, false, {r2}},
+        {"givers that may have lost claims", true, false, {r2, r3}},
+        {"givers that have gaps themselves", false, true, {r2, r3}},
+        {"one of two givers, since with a quorum of three none may be missing", false, false, {r2}},
     };
     for (const Row &row : rows) {
         CAPTURE(row.name);
@@ -171,9 +171,9 @@
     }
 }
 
-// Symptom: two runs. Events: three of five witnesses of a key are replaced; each new one votes for the key at once.
-// Cause: it takes not having been told for knowing that nobody claimed.
-TEST_CASE("a witness abstains for keys that a change of the list made its own, until it learnt them")
+// Guards against two runs of a key: three of its five witnesses are replaced, and each new one votes at once, although
+// it has not received the claims of the key.
+TEST_CASE("a witness abstains for keys that a change of the list assigned to it, until it has received their claims")
 {
     Fixture f({}, {"r2", "r3", "r4", "r5", "r6", "r7"});
     f.witness.assumeNoPriorClaims();
@@ -190,10 +190,11 @@
         const ClaimVote vote = f.askFor(changed + f.parameters.settleTime, ClaimRequest{ClaimKey{i, 0}, first, 1, 1});
         own += vote.verdict == ClaimVerdict::Granted ? 1 : 0;
     }
-    CHECK(own > 25); // A witness of five in six keys; the departed r2 is the one that may be missing.
+    CHECK(own
+          > 25); // r1 is a witness of five in six keys. r2 left the list, and is the one witness that may be missing.
 }
 
-TEST_CASE("a witness of a large fleet asks nobody, and abstains only for the keys that a departure made its own")
+TEST_CASE("a witness of a large fleet pulls no claims, and abstains only for the keys that a departure assigned to it")
 {
     ClaimParameters parameters;
     parameters.maxHandoverInstances = 3;
@@ -215,7 +216,7 @@
     }
 }
 
-TEST_CASE("a full witness abstains for new keys and forgets none")
+TEST_CASE("a full witness abstains for new keys and evicts no claim")
 {
     ClaimParameters parameters;
     parameters.maxRecords = 1;
@@ -248,8 +249,8 @@
     CHECK(records == keys);
 }
 
-// Symptom: after a rolling replacement a key runs again. Events: its witnesses stop one after another. Cause: what
-// they remembered went with them.
+// Guards against a key that runs again after a rolling replacement: its witnesses stop one after another, and their
+// claims are lost.
 TEST_CASE("a planned stop hands every claim to the key's next witness")
 {
     Fixture f({}, {"r1", "r2", "r3", "r4", "r5", "r6", "r7"});
@@ -273,10 +274,11 @@
     CHECK(records == keys);
 }
 
-// Symptom: after a rolling update a retry hears 'unknown', though its key never ran, or another attempt's answer is
-// kept. Events: a witness that leaves hands a claim to the key's next witness; then the attempt is refused for want of
-// room and withdraws at the witnesses that it asked. Cause: the next witness is none of them and keeps the claim.
-TEST_CASE("a withdrawal follows a claim that was handed over")
+// Guards against a retry that is answered with 'unknown' after a rolling update, although its key never ran, or another
+// attempt's answer is kept. A stopping witness hands a claim over to the key's next witness. Then the attempt is
+// refused for lack of capacity, and withdraws at the witnesses that it asked. The next witness is none of them and
+// keeps it.
+TEST_CASE("a withdrawal is forwarded to the instance that received the claim")
 {
     Fixture f({}, {"r1", "r2", "r3", "r4", "r5", "r6", "r7"});
     f.witness.assumeNoPriorClaims();
@@ -305,23 +307,23 @@
         next.receive(Millis{6}, entry, ClaimRequest{key, second, 1, 1}, outbox);
         CHECK(std::get<ClaimVote>(outbox.back().message).verdict != ClaimVerdict::Held);
     }
-    SUBCASE("asked for")
+    SUBCASE("pulled")
     {
         const InstanceId asks{"r6"};
         f.witness.receive(Millis{2}, asks, ClaimPull{1, {}}, outbox);
         outbox.clear();
-        SUBCASE("lately")
+        SUBCASE("recently")
         {
             f.witness.receive(Millis{3}, entry, withdrawal, outbox);
             CHECK(outbox == Outbox{Outgoing{asks, withdrawal}});
             outbox.clear();
             f.witness.receive(Millis{4}, entry, withdrawal, outbox);
         }
-        SUBCASE("and withdrawn by the same one")
+        SUBCASE("and withdrawn by the same instance")
         {
             f.witness.receive(Millis{3}, asks, withdrawal, outbox);
         }
-        SUBCASE("longer ago than an attempt may be withdrawn")
+        SUBCASE("so long ago that the attempt can no longer be withdrawn")
         {
             f.witness.receive(Millis{2} + f.parameters.dispatchWindow * 2, entry, withdrawal, outbox);
         }
