--- a/sequoiausher/coordination/answers/answerpropertytest.cpp
+++ b/sequoiausher/coordination/answers/answerpropertytest.cpp
@@ -1,6 +1,6 @@
-// Rolling replacements of a small fleet whose messages are lost, doubled, late and cut, with routers that die midway
-// and lists that differ: whatever a retry is given is the whole answer of its own key, and no key is ever said to be
-// free.
+// Rolling replacements of a small fleet with lost, duplicate, late and corrupt messages, routers that die midway, and
+// lists that differ. A retry is given either nothing or the complete answer of its own key, and no key is ever reported
+// as free.
 
 #include "sequoiausher/coordination/answers/answerreceiver.h"
 #include "sequoiausher/coordination/answers/answersender.h"
@@ -27,23 +27,23 @@
     return InstanceId{"r" + std::to_string(number)};
 }
 
-/** What goes wrong; shares are out of 1000. */
+/** Injected faults; shares are out of 1000. */
 struct Faults
 {
     std::uint64_t seed = 1;
     int loss = 0;
     int doubled = 0;
     int late = 0;
-    /** Parts whose bytes are cut or changed on their way. */
+    /** Pages of which one fragment is truncated or changed in flight. */
     int spoilt = 0;
-    /** Routers that die while another hands over. */
+    /** Routers that die during another router's hand-over. */
     int deaths = 0;
-    /** Routers that are missing from the list of one that hands over. */
+    /** Routers that are missing from the list of the router that hands over. */
     int unlisted = 0;
     std::size_t totalBytes = std::size_t{1} << 20U;
 };
 
-/** One process; a new one of the same name knows nothing. */
+/** One process of a router; a new process of the same name has no answers. */
 struct Process : public AnswerBodySource
 {
     Process(const AnswerSettings &settings, std::uint64_t handover)
@@ -69,7 +69,7 @@
     Outgoing out;
 };
 
-/** What was run for each key, in full. */
+/** The attempt that ran for a key, with its complete answer. */
 struct Original
 {
     ClaimKey key;
@@ -205,7 +205,7 @@
         return makeInstanceList(names);
     }
 
-    /** A planned stop and a new process of the name. @return how long the hand-over took. */
+    /** A planned stop, then a new process of the same name. @return the duration of the hand-over. */
     Millis replace(const InstanceId &name)
     {
         if (!this->processes[name]) {
@@ -236,7 +236,7 @@
         }
     }
 
-    /** The whole answer that a retry is given; std::nullopt where its outcome is unknown. */
+    /** The complete answer that a retry is given; std::nullopt if its outcome is unknown. */
     std::optional<AnswerPart> retry(const Original &original)
     {
         HolderSearch search;
@@ -265,13 +265,13 @@
     std::size_t undelivered = 0;
 };
 
-/** Each key's retry is given its own whole answer or nothing. @return how many are given nothing. */
+/** Checks that the retry of each key is given its complete answer or nothing. @return how many are given nothing. */
 std::size_t checkRetries(Network &network)
 {
     std::size_t unknown = 0;
     for (const Original &original : network.originals) {
         const std::optional<AnswerPart> part = network.retry(original);
-        // Without room for its bytes, its router knows only that it ran.
+        // A router without room for the body only records that the attempt ran.
         const bool isKept = part && part->state != AnswerState::NotReplayable;
         if (!isKept) {
             RC_ASSERT(!part || part->bytes.empty());
@@ -285,7 +285,7 @@
     return unknown;
 }
 
-/** A router that knows a key at all joins its retry to the answer: nothing here lets the key run once more. */
+/** Checks that each router with an entry for a key joins a retry to the answer, so that the key does not run again. */
 void checkKeys(Network &network)
 {
     for (const auto &[name, process] : network.processes) {
@@ -306,7 +306,8 @@
 
 } // namespace
 
-TEST_CASE("a retry is given its own whole answer or none, whatever is lost, doubled, late, spoilt or dead")
+TEST_CASE("a retry is given its own complete answer or none, with lost, duplicate, late and corrupt messages and dead "
+          "routers")
 {
     const bool holds = rc::check([] {
         Faults faults;
@@ -328,7 +329,7 @@
     CHECK(holds);
 }
 
-TEST_CASE("a rolling replacement twice over loses no answer where messages are lost, doubled and late")
+TEST_CASE("two rolling replacements lose no answer, with lost, duplicate and late messages")
 {
     const bool holds = rc::check([] {
         Faults faults;
--- a/sequoiausher/coordination/answers/answerreceiver.cpp
+++ b/sequoiausher/coordination/answers/answerreceiver.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** One answer in one hand-over. */
+/** Identifies an answer in one hand-over. */
 struct PartialAnswerId
 {
     InstanceId from;
@@ -19,12 +19,12 @@
     auto operator<=>(const PartialAnswerId &) const = default;
 };
 
-/** What has come of it. */
+/** The fragments of an answer received so far. */
 struct PartialAnswer
 {
     KeptAnswer answer;
     std::string body;
-    /** Whole or dropped: what still comes is known already. */
+    /** Complete or dropped: further fragments are ignored. */
     bool closed = false;
     Millis lastFragmentAt;
 };
@@ -71,7 +71,7 @@
         this->close(partial);
     }
 
-    /** The answer of the fragment, begun where this is its first part. */
+    /** Returns the partial answer of the fragment; creates it for the first fragment. */
     PartialAnswer &findOrCreatePartial(const PartialAnswerId &id, const AnswerFragment &fragment)
     {
         const auto [found, inserted] = this->partials.try_emplace(id);
@@ -86,7 +86,7 @@
         return partial;
     }
 
-    /** Whether the fragment need not come again. */
+    /** @return whether the fragment need not be sent again. */
     bool receiveFragment(Millis now, const InstanceId &from, std::uint64_t handover, const AnswerFragment &fragment)
     {
         if (fragment.answer.length > this->settings.bytesPerAnswer) {
--- a/sequoiausher/coordination/answers/answerreceiver.h
+++ b/sequoiausher/coordination/answers/answerreceiver.h
@@ -1,14 +1,17 @@
 #pragma once
 
-// Takes what routers that stop hand over, puts the parts of each answer together, and gives those that are whole.
+// Receives the answers that stopping routers hand over, assembles the fragments of each answer, and returns the
+// complete answers.
 //
-//     AnswerReceiver taker(settings);
-//     taker.receive(now, from, page, outbox);                  // acknowledges it
-//     for (ReceivedAnswer &taken : taker.takeWholeAnswers()) { table.keep(now, taken.answer, std::move(taken.body)); }
+//     AnswerReceiver receiver(settings);
+//     receiver.receive(now, from, page, outbox);                  // acknowledges the page
+//     for (ReceivedAnswer &received : receiver.takeWholeAnswers()) {
+//         table.keep(now, received.answer, std::move(received.body));
+//     }
 //
-// Pages may be lost, doubled, late and out of order. A page is acknowledged once each of its parts was joined to what
-// was there before, was known already, or belongs to an answer that is not wanted; else the giver sends it again.
-// An answer whose parts do not make up the length and digest that it was announced with is dropped.
+// Pages may be lost, duplicated, delayed and reordered. A page is acknowledged once each of its fragments was appended
+// to the previous ones, had been received before, or belongs to an answer that is not accepted. Otherwise the sender
+// sends the page again. An answer is dropped if its fragments do not match its announced length and digest.
 
 #include "sequoiausher/coordination/messages/peermessage.h"
 
@@ -18,24 +21,24 @@
 
 namespace Sequoiausher {
 
-/** Bounds of what is put together. */
+/** Bounds on the answers being assembled. */
 struct AnswerReceiverSettings
 {
-    /** The largest answer taken, and all that are not whole yet, in bytes. */
+    /** Bounds in bytes: on the body of one answer, and on the bodies of all incomplete answers. */
     std::uint64_t bytesPerAnswer = std::uint64_t{4} << 20U;
     std::uint64_t maxIncompleteBytes = std::uint64_t{16} << 20U;
-    /** An answer of which nothing came for so long is dropped: its giver has ended. */
+    /** An answer without a new fragment for this time is dropped, since its sender has ended. */
     Millis idleTimeout{10000};
 };
 
-/** A whole answer. */
+/** A complete answer. */
 struct ReceivedAnswer
 {
     KeptAnswer answer;
     std::string body;
 };
 
-/** One router's taking side. A plain state machine; not thread-safe. */
+/** The receiving side of one router. A plain state machine; not thread-safe. */
 class AnswerReceiver
 {
 public:
@@ -45,14 +48,14 @@
     AnswerReceiver &operator=(const AnswerReceiver &) = delete;
 
     void receive(Millis now, const InstanceId &from, const AnswerPage &page, Outbox &outbox);
-    /** Drops what did not go on. Call it about once a second. */
+    /** Drops answers that had no new fragment for idleTimeout. Call it about once a second. */
     void tick(Millis now);
 
-    /** What has become whole since the last call. The same answer may come twice. */
+    /** Returns the answers completed since the last call. The same answer may be returned twice. */
     std::vector<ReceivedAnswer> takeWholeAnswers();
-    /** Answers dropped so far: not whole, too large, or without room. */
+    /** The number of answers dropped so far: incomplete, invalid, too large, or beyond maxIncompleteBytes. */
     std::uint64_t dropped() const;
-    /** Bytes set aside for answers that are not whole yet. */
+    /** Bytes reserved for answers that are not complete yet. */
     std::uint64_t incompleteBytes() const;
 
 private:
--- a/sequoiausher/coordination/answers/answerreceivertest.cpp
+++ b/sequoiausher/coordination/answers/answerreceivertest.cpp
@@ -21,7 +21,7 @@
     return {answerOf(number), offset, body.substr(offset, length)};
 }
 
-/** Gives one page with these parts; whether it was acknowledged. */
+/** Sends one page with these parts to the receiver. @return whether the page was acknowledged. */
 bool give(AnswerReceiver &receiver,
           std::vector<AnswerFragment> parts,
           const InstanceId &from = sender,
@@ -46,7 +46,7 @@
 
 } // namespace
 
-TEST_CASE("parts make up whole answers, and pages are acknowledged once they are of use")
+TEST_CASE("fragments are assembled to complete answers, and their pages are acknowledged")
 {
     AnswerReceiver receiver(small);
     CHECK(give(receiver, {part(1, 0, 10), part(2, 0, 4)}));
@@ -58,17 +58,17 @@
     CHECK(receiver.dropped() == 0);
 }
 
-// Symptom: answers that are cut, mixed or missing after a hand-over. Events and causes as in the rows.
-TEST_CASE("pages that are lost, doubled or out of order")
+// Guards against truncated, mixed or missing answers after a hand-over; each subcase names its fault.
+TEST_CASE("lost, duplicate and reordered pages")
 {
     AnswerReceiver receiver(small);
-    SUBCASE("the first page is lost: the second is not acknowledged and comes again")
+    SUBCASE("the first page is lost: the second one is not acknowledged and is sent again")
     {
         CHECK(!give(receiver, {part(1, 5, 5)}));
         CHECK(give(receiver, {part(1, 0, 5)}));
         CHECK(give(receiver, {part(1, 5, 5)}));
     }
-    SUBCASE("a page in the middle is lost, what else its followers carry is kept")
+    SUBCASE("a page in the middle is lost: other answers in the later pages are kept")
     {
         CHECK(give(receiver, {part(1, 0, 3)}));
         CHECK(!give(receiver, {part(1, 6, 4), part(2, 0, 10)}));
@@ -76,7 +76,7 @@
         CHECK(give(receiver, {part(1, 3, 3)}));
         CHECK(give(receiver, {part(1, 6, 4)}));
     }
-    SUBCASE("pages come twice")
+    SUBCASE("pages arrive twice")
     {
         CHECK(give(receiver, {part(1, 0, 5)}));
         CHECK(give(receiver, {part(1, 0, 5)}));
@@ -84,7 +84,7 @@
         CHECK(give(receiver, {part(1, 0, 5)}));
         CHECK(give(receiver, {part(1, 5, 5)}));
     }
-    SUBCASE("parts overlap")
+    SUBCASE("fragments overlap")
     {
         CHECK(give(receiver, {part(1, 0, 6)}));
         CHECK(give(receiver, {part(1, 3, 7)}));
@@ -96,7 +96,7 @@
         CHECK(give(receiver, {part(1, 5, 5)}, other));
         CHECK(receiver.dropped() == 0);
     }
-    SUBCASE("the giver dies midway: what it gave is dropped after a while")
+    SUBCASE("the sender dies midway: the incomplete answer is dropped after idleTimeout")
     {
         CHECK(give(receiver, {part(2, 0, 5)}));
         CHECK(give(receiver, {part(1, 0, 10)}));
@@ -110,14 +110,14 @@
     CHECK(wholeOf(receiver) <= 1);
 }
 
-TEST_CASE("an answer that is not what it was announced as is dropped, and its pages do not come again")
+TEST_CASE("an answer that does not match its announcement is dropped, and its pages are acknowledged")
 {
     AnswerReceiver receiver(small);
-    SUBCASE("in one part, spoilt")
+    SUBCASE("corrupt, in one fragment")
     {
         CHECK(give(receiver, {{answerOf(1), 0, "012345678X"}}));
     }
-    SUBCASE("in two parts, spoilt")
+    SUBCASE("corrupt, in two fragments")
     {
         CHECK(give(receiver, {{answerOf(1), 0, "0123X"}}));
         CHECK(give(receiver, {part(1, 5, 5)}));
@@ -127,7 +127,7 @@
         CHECK(give(receiver, {part(1, 0, 5)}));
         CHECK(give(receiver, {{answerOf(1), 5, "56789+"}}));
     }
-    SUBCASE("its parts belong to two answers")
+    SUBCASE("its fragments belong to two answers")
     {
         CHECK(give(receiver, {part(1, 0, 5)}));
         CHECK(give(receiver, {{answerOf(1, "other body"), 5, " body"}}));
@@ -139,13 +139,13 @@
         fragment.answer.key = {5, 5};
         CHECK(give(receiver, {fragment}));
     }
-    SUBCASE("larger than one answer may be")
+    SUBCASE("larger than the bound on one answer")
     {
         const std::string large(small.bytesPerAnswer + 1, 'x');
         CHECK(give(receiver, {{answerOf(1, large), 0, large.substr(0, 10)}}));
         CHECK(give(receiver, {{answerOf(1, large), 10, large.substr(10)}}));
     }
-    SUBCASE("over the budget of answers under way")
+    SUBCASE("beyond the bound on all incomplete answers")
     {
         const std::string large(small.bytesPerAnswer, 'x');
         CHECK(give(receiver, {{answerOf(2, large), 0, "x"}, {answerOf(3, large), 0, "x"}}));
@@ -157,7 +157,7 @@
     CHECK(wholeOf(receiver) == 0);
 }
 
-TEST_CASE("answers of no bytes")
+TEST_CASE("answers with empty bodies")
 {
     AnswerReceiver receiver(small);
     CHECK(give(receiver, {{answerOf(1, ""), 0, ""}}));
--- a/sequoiausher/coordination/answers/answersender.cpp
+++ b/sequoiausher/coordination/answers/answersender.cpp
@@ -8,23 +8,23 @@
 
 namespace {
 
-/** One answer on its way. */
+/** The transfer of one answer. */
 struct AnswerTransfer
 {
     KeptAnswer answer;
     InstanceId to;
     std::uint64_t sent = 0;
     std::size_t unacknowledgedFragments = 0;
-    /** Given, or not to be given any more. */
+    /** Delivered, or given up. */
     bool ended = false;
 };
 
-/** One page that is not acknowledged yet. */
+/** A page that has not been acknowledged yet. */
 struct SentPage
 {
     InstanceId to;
     AnswerPage page;
-    /** The transfer of each fragment. */
+    /** The index of the transfer of each fragment. */
     std::vector<std::size_t> transfers;
     Millis sentAt;
     int sendCount = 1;
@@ -32,7 +32,7 @@
 
 struct Receiver
 {
-    /** Parcels to be sent or sent in part, the first one next. */
+    /** Indexes of the transfers that are not sent completely, the next one first. */
     std::deque<std::size_t> waiting;
     std::size_t pages = 0;
 };
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Adds the next fragment of the receiver's first transfer. False where the answer is kept no more. */
+    /** Adds the next fragment of the transfer to a page. @return false if the answer is no longer kept. */
     bool addFragment(Millis now, std::size_t index, std::size_t room, SentPage &sent)
     {
         AnswerTransfer &transfer = this->transfers[index];
@@ -107,7 +107,7 @@
         }
     }
 
-    /** Sends one page to a receiver that has room and work. */
+    /** Sends one page to the receiver if it has waiting transfers and the bounds allow it. @return whether it did. */
     bool sendPage(Millis now, const InstanceId &to, Receiver &receiver, Outbox &outbox)
     {
         const bool full
@@ -130,7 +130,7 @@
         return true;
     }
 
-    /** One page to each receiver in turn, so that none waits until another has everything. */
+    /** Sends one page to each receiver in turn, so that no receiver waits until another one has all its answers. */
     void sendPages(Millis now, Outbox &outbox)
     {
         bool sent = true;
@@ -160,7 +160,7 @@
         }
     }
 
-    /** Sends again what is due; gives the first receiver that was silent for too long. */
+    /** Sends overdue pages again. @return the first receiver that has not acknowledged a page after all its sends. */
     std::optional<InstanceId> resend(Millis now, Outbox &outbox)
     {
         for (auto &[sequence, sent] : this->pages) {
--- a/sequoiausher/coordination/answers/answersender.h
+++ b/sequoiausher/coordination/answers/answersender.h
@@ -1,15 +1,16 @@
 #pragma once
 
-// Hands the kept answers of a router that stops to those that stay: each to the first of them by rendezvous of its key,
-// the last ended first, in pages of bounded size of which few are on their way at a time.
+// Sends the kept answers of a stopping router to the routers that stay. Each answer goes to the router with the highest
+// rendezvous weight for its key. The answers that ended last are sent first, in pages of bounded size, of which a
+// bounded number is in flight.
 //
-//     AnswerSender giver(settings, handover, source);
-//     giver.begin(now, table.kept(now), makeInstanceList(liveOthers), outbox);
-//     ... giver.receive(now, from, ack, outbox); giver.tick(now, outbox); until giver.isDone()
+//     AnswerSender sender(settings, handover, source);
+//     sender.begin(now, table.kept(now), makeInstanceList(liveOthers), outbox);
+//     ... sender.receive(now, from, ack, outbox); sender.tick(now, outbox); until sender.isDone()
 //
-// A page that is not acknowledged comes again. A receiver that stays silent or is lost is left out, and what it has not
-// acknowledged whole goes to the next one in the order. The hand-over ends by itself after its time: a stop never waits
-// for it longer.
+// A page that is not acknowledged is sent again. A receiver that does not acknowledge pages or is lost is removed, and
+// the answers that it has not acknowledged completely go to the next router in the rendezvous order. The hand-over ends
+// after its time limit, so that it does not delay the stop any further.
 
 #include "sequoiausher/coordination/claims/instancelist.h"
 #include "sequoiausher/coordination/messages/peermessage.h"
@@ -22,63 +23,67 @@
 /** Bounds of a hand-over. */
 struct AnswerHandoverSettings
 {
-    /** How long it may take; zero for no hand-over. */
+    /** Time limit for the whole hand-over; zero for no hand-over. */
     Millis timeLimit{5000};
-    /** Bodies handed over, in bytes; what is older stays behind. */
+    /** Bound on the bodies sent, in bytes; the older answers beyond it are not sent. */
     std::uint64_t maxTotalBytes = std::uint64_t{64} << 20U;
-    /** Bodies in one page, in bytes, and answers. */
+    /** Bounds on one page: bytes of bodies, and fragments. */
     std::size_t pageBytes = std::size_t{32} << 10U;
     std::size_t pageFragments = 64;
-    /** Pages on their way to one receiver, and to all of them. */
+    /** Bounds on the pages in flight: to one receiver, and to all receivers. */
     std::size_t pagesPerReceiver = 8;
     std::size_t pagesInFlight = 64;
-    /** When a page that is not acknowledged comes again, and how often it is sent before its receiver is left out. */
+    /** Delay before a page is sent again, and how often a page is sent before its receiver is removed. */
     Millis resendDelay{250};
     int maxSendsPerPage = 4;
 };
 
-/** Where the giver reads the bodies. */
+/** Provides the bodies of the kept answers. */
 class AnswerBodySource
 {
 public:
     virtual ~AnswerBodySource() = default;
 
-    /** Up to maxBytes of the answer's body from offset on; empty where it is kept no more. */
+    /** Up to maxBytes of the answer's body from offset on; empty if the answer is no longer kept. */
     virtual std::string bytesOf(const RequestId &attempt, std::uint64_t offset, std::size_t maxBytes) const = 0;
 };
 
-/** What came of a hand-over, in answers. */
+/** The result of a hand-over, in numbers of answers. */
 struct AnswerHandoverCount
 {
-    /** Acknowledged whole by a receiver. */
+    /** Acknowledged completely by a receiver. */
     std::size_t delivered = 0;
-    /** Not given: for want of time, bytes or receivers, or because they were kept no more. */
+    /** Not delivered: the time limit, the byte bound or a lack of receivers, or the answers were no longer kept. */
     std::size_t undelivered = 0;
 
     bool operator==(const AnswerHandoverCount &) const = default;
 };
 
-/** One hand-over. A plain state machine; not thread-safe. */
+/** The sending side of one hand-over. A plain state machine; not thread-safe. */
 class AnswerSender
 {
 public:
-    /** @param handover unique to this life of the router. @param source outlives the giver. */
+    /** @param handover unique to this process of the router. @param source must outlive the sender. */
     AnswerSender(const AnswerHandoverSettings &settings, std::uint64_t handover, const AnswerBodySource &source);
     ~AnswerSender();
     AnswerSender(const AnswerSender &) = delete;
     AnswerSender &operator=(const AnswerSender &) = delete;
 
-    /** @param answers the most wanted first. @param receivers who stays, without this router. Once at most. */
+    /**
+     * Starts the hand-over. Call it at most once.
+     * @param answers in the order in which they are sent; the last ones are left out beyond maxTotalBytes.
+     * @param receivers the routers that stay, without this one.
+     */
     void begin(Millis now, const std::vector<KeptAnswer> &answers, const InstanceList &receivers, Outbox &outbox);
     void receive(Millis now, const InstanceId &from, const AnswerPageAck &ack, Outbox &outbox);
-    /** Nothing more can be sent to peer, or it leaves too. */
+    /** Removes a receiver that is no longer reachable or that stops as well. */
     void peerLost(Millis now, const InstanceId &peer, Outbox &outbox);
-    /** Call it some times while a page is on its way. */
+    /** Sends overdue pages again, and applies the time limit. Call it several times per resendDelay. */
     void tick(Millis now, Outbox &outbox);
 
-    /** Nothing is left to be sent or acknowledged; true before begin. */
+    /** Whether nothing is left to be sent or acknowledged; true before begin. */
     bool isDone() const;
-    /** Final once isDone. */
+    /** The answers delivered so far, and the remaining ones; final once isDone. */
     AnswerHandoverCount count() const;
 
 private:
--- a/sequoiausher/coordination/answers/answersendertest.cpp
+++ b/sequoiausher/coordination/answers/answersendertest.cpp
@@ -46,7 +46,7 @@
     return pages;
 }
 
-/** Acknowledges all that was sent until nothing comes any more; gives every page. */
+/** Acknowledges all pages until no more are sent. @return the pages. */
 std::vector<AnswerPage> acknowledgeAll(AnswerSender &sender, Millis now, Outbox outbox)
 {
     std::vector<AnswerPage> all;
@@ -64,7 +64,7 @@
 
 } // namespace
 
-TEST_CASE("answers go in the order in which they are wanted, in pages within the bounds")
+TEST_CASE("answers are sent in the given order, in pages within the bounds")
 {
     Bodies bodies;
     std::vector<KeptAnswer> answers;
@@ -100,7 +100,7 @@
     CHECK(sender.count() == AnswerHandoverCount{6, 0});
 }
 
-TEST_CASE("each answer goes to the first by rendezvous, and ages on its way")
+TEST_CASE("each answer goes to the router with the highest rendezvous weight, and its age includes the time in flight")
 {
     Bodies bodies;
     const InstanceList list = makeInstanceList({one, two, InstanceId{"r3"}});
@@ -132,7 +132,7 @@
     CHECK(seen.size() == 20);
 }
 
-TEST_CASE("nobody waits for a hand-over of nothing, to nobody, or in no time")
+TEST_CASE("a hand-over without answers, receivers or time is done at once")
 {
     Bodies bodies;
     Outbox outbox;
@@ -152,8 +152,8 @@
     CHECK(outbox.empty());
 }
 
-// Symptom: answers are missing after a planned stop. Events and causes as in the rows.
-TEST_CASE("faults on the way")
+// Guards against answers that are missing after a planned stop; each subcase names its fault.
+TEST_CASE("lost pages, acknowledgements, receivers and answers during a hand-over")
 {
     Bodies bodies;
     const std::vector<KeptAnswer> answers{bodies.add(1, std::string(25, 'a')), bodies.add(2, "bb")};
@@ -163,7 +163,7 @@
     const std::vector<AnswerPage> pages = pagesTo(one, outbox);
     REQUIRE(pages.size() == 2);
     outbox.clear();
-    SUBCASE("a page is lost: it comes again, the same")
+    SUBCASE("a page is lost: the same page is sent again")
     {
         sender.receive(Millis{10}, one, AnswerPageAck{handover, pages[1].sequence}, outbox);
         const std::vector<AnswerPage> third = pagesTo(one, outbox);
@@ -178,7 +178,7 @@
         CHECK(sender.isDone());
         CHECK(sender.count() == AnswerHandoverCount{2, 0});
     }
-    SUBCASE("an acknowledgement comes twice, from another router, of another hand-over: only the first counts")
+    SUBCASE("acknowledgements that are duplicates, from another router or of another hand-over are ignored")
     {
         sender.receive(Millis{10}, two, AnswerPageAck{handover, pages[0].sequence}, outbox);
         sender.receive(Millis{10}, one, AnswerPageAck{handover + 1, pages[0].sequence}, outbox);
@@ -190,13 +190,13 @@
         CHECK(outbox.size() == 1);
         CHECK(sender.count().delivered == 0);
     }
-    SUBCASE("the only receiver is lost: the rest stays behind and nobody waits")
+    SUBCASE("the only receiver is lost: the hand-over ends and the answers are undelivered")
     {
         sender.peerLost(Millis{10}, one, outbox);
         CHECK(sender.isDone());
         CHECK(sender.count() == AnswerHandoverCount{0, 2});
     }
-    SUBCASE("the receiver is silent: it is left out after its last sending")
+    SUBCASE("the receiver acknowledges nothing: it is removed after the last send of a page")
     {
         for (const std::int64_t at : {100, 200, 300}) {
             sender.tick(Millis{at}, outbox);
@@ -204,7 +204,7 @@
         CHECK(outbox.size() == 2 * static_cast<std::size_t>(small.maxSendsPerPage - 1));
         CHECK(sender.isDone());
     }
-    SUBCASE("the time is over")
+    SUBCASE("the time limit ends the hand-over")
     {
         sender.tick(small.timeLimit, outbox);
         CHECK(outbox.empty());
@@ -213,7 +213,7 @@
         sender.receive(small.timeLimit, one, AnswerPageAck{handover, pages[0].sequence}, outbox);
         CHECK(outbox.empty());
     }
-    SUBCASE("the answer is kept no more when its second half is to go: the receiver never gets a whole one")
+    SUBCASE("the answer is no longer kept when its second half is due: it counts as undelivered")
     {
         bodies.bodies.erase(RequestId{0, 1});
         sender.receive(Millis{10}, one, AnswerPageAck{handover, pages[0].sequence}, outbox);
@@ -224,9 +224,9 @@
     }
 }
 
-// Symptom: the answers that went to a router which died during the hand-over are missing.
-// Events: two routers stay; one takes its first page and dies. Cause: what it took went with it.
-TEST_CASE("what a lost receiver had not acknowledged whole goes to the next one")
+// Guards against lost answers when a receiver dies during the hand-over: of two receivers, one receives its first page
+// and dies with the answers in that page.
+TEST_CASE("answers that a lost receiver had not acknowledged completely go to the next one")
 {
     Bodies bodies;
     const InstanceList list = makeInstanceList({one, two});
@@ -260,7 +260,7 @@
     CHECK(sender.count() == AnswerHandoverCount{4, 0});
 }
 
-TEST_CASE("beyond the bytes of a hand-over the older answers stay behind")
+TEST_CASE("older answers beyond the byte bound of a hand-over are not sent")
 {
     Bodies bodies;
     AnswerHandoverSettings few = small;
@@ -273,7 +273,7 @@
     CHECK(sender.count() == AnswerHandoverCount{2, 1});
 }
 
-TEST_CASE("pages on their way to all receivers together are bounded")
+TEST_CASE("the pages in flight to all receivers together are bounded")
 {
     Bodies bodies;
     std::vector<InstanceId> names;
--- a/sequoiausher/coordination/answers/holdersearch.cpp
+++ b/sequoiausher/coordination/answers/holdersearch.cpp
@@ -14,7 +14,7 @@
 {
     this->claimHolder = holder;
     this->asked = 0;
-    // One more, since the holder may be among them.
+    // One more than needed, since the holder may be among them.
     this->order = reachable.selectInstances(key, maxSuccessors + 1);
     std::erase(this->order, holder);
     this->order.resize(std::min(this->order.size(), maxSuccessors));
--- a/sequoiausher/coordination/answers/holdersearchtest.cpp
+++ b/sequoiausher/coordination/answers/holdersearchtest.cpp
@@ -45,7 +45,7 @@
 
 } // namespace
 
-TEST_CASE("the holder is asked first while it answers, and each router once")
+TEST_CASE("a reachable holder is asked first, and each router once")
 {
     const std::vector<InstanceId> ranked = without({}).selectInstances(key, 7);
     for (std::size_t rank = 0; rank < ranked.size(); ++rank) {
@@ -59,7 +59,7 @@
     }
 }
 
-TEST_CASE("a holder that does not answer is asked last")
+TEST_CASE("an unreachable holder is asked last")
 {
     const std::vector<InstanceId> ranked = without({}).selectInstances(key, 7);
     const std::vector<InstanceId> asked = allAsked(ranked[0], without({ranked[0]}));
@@ -68,17 +68,17 @@
     CHECK(asked.back() == ranked[0]);
 }
 
-TEST_CASE("a fleet of one asks the holder alone, and nobody takes over")
+TEST_CASE("in a fleet of one only the holder is asked, and it has no successor")
 {
     const InstanceId only{"r1"};
     CHECK(allAsked(only, makeInstanceList({only})) == std::vector{only});
     CHECK(!successorFor(makeInstanceList({}), key).has_value());
 }
 
-// Symptom: after a rolling update a retry hears 'unknown', though the answer is kept by some router.
-// Events: routers stop one after the other and come back under their names; each gives the answer on when its turn
-// comes. Cause: the retry does not find the way that the answer took.
-TEST_CASE("an answer is found wherever a replacement of all routers took it")
+// Guards against a retry that is answered with 'unknown' after a rolling update, although a router keeps the answer:
+// routers restart one after another under their names, each one that keeps the answer hands it over, and the retry does
+// not ask the last of them.
+TEST_CASE("an answer is found after any rolling replacement of all routers")
 {
     const std::vector<InstanceId> names = routers();
     for (std::size_t holder = 0; holder < names.size(); ++holder) {
@@ -96,7 +96,7 @@
     }
 }
 
-TEST_CASE("it is found where the lists of the one that gives and the one that asks differ by two")
+TEST_CASE("an answer is found if the lists of the sending and the asking router differ by two")
 {
     const std::vector<InstanceId> names = routers();
     const std::vector<InstanceId> ranked = without({}).selectInstances(key, names.size());
