--- a/sequoiausher/coordination/membership/demandtable.cpp
+++ b/sequoiausher/coordination/membership/demandtable.cpp
@@ -10,6 +10,7 @@
 namespace {
 
 constexpr Millis minReportInterval{1000};
+/** Added to the report interval per live router: 10 ms gives a collector at most 100 reports a second. */
 constexpr std::int64_t millisPerRouter = 10;
 /** A report counts for this many intervals; a new collector waits as long before it publishes a total. */
 constexpr std::int64_t reportRetentionIntervals = 2;
@@ -34,6 +35,7 @@
 {
     double perSecond = 0;
     Millis at;
+    /** Value of sendCounter when the total was last sent; 0 if it never was. */
     std::uint64_t lastSend = 0;
 };
 
--- a/sequoiausher/coordination/membership/lifetable.h
+++ b/sequoiausher/coordination/membership/lifetable.h
@@ -15,13 +15,14 @@
 
 namespace Sequoiausher {
 
-/** The newest news about each name, and the names whose news still has to be sent. */
+/** The newest known life state of each name, and the names whose state still has to be sent. */
 template<typename Name>
 struct LifeTable
 {
     std::map<Name, LifeNews> lives;
     NewsQueue<Name> queue;
-    /** Names whose news is sent with the next push, without waiting for a probe. */
+    /** Names whose news is sent to a few peers at once, in probes with sequence 0, rather than only with regular
+     * probes. */
     std::set<Name> urgent;
 
     /** Stores and queues life if it is newer than the known one; returns whether it was. */
--- a/sequoiausher/coordination/membership/membership.h
+++ b/sequoiausher/coordination/membership/membership.h
@@ -1,8 +1,8 @@
 #pragma once
 
 // Tracks which routers are listed, which of them answer, and the life states of routers and targets. Each router probes
-// one other router per period. Probes and their answers carry a bounded amount of news, so the bytes that a router
-// sends do not grow with the fleet.
+// one other router per period. Probes and their answers carry a bounded number of state updates, called news, so the
+// bytes that a router sends do not grow with the fleet.
 //
 //     Membership membership({self, dataCentre, incarnation}, seed, {});
 //     membership.setListed(instancesOfThePlatformsList);
@@ -101,7 +101,10 @@
     bool operator==(const MembershipEvent &) const = default;
 };
 
-/** The state of the documents that gossip carries; see Spread::summary(). */
+/**
+ * What gossip carries about this router's documents: the fields of Spread::summary(), repeated here so that membership
+ * does not depend on spread.
+ */
 struct DocumentState
 {
     std::uint64_t digest = 0;
@@ -121,7 +124,7 @@
 
     /**
      * Sends what is due. Call about ten times per period; urgent news from addTargetNews() is sent with the next call.
-     * A gap above maxTickGap reports WokeLate and drops all suspicions.
+     * A gap above maxTickGap reports WokeLate, discards open probes and stops the timers of all suspicions.
      */
     void tick(Millis now, Outbox &outbox);
     /** Returns when the next probe is due. Everything else that tick() does may be some hundred milliseconds late. */
--- a/sequoiausher/coordination/membership/prober.h
+++ b/sequoiausher/coordination/membership/prober.h
@@ -6,7 +6,7 @@
 //
 //     const std::optional<InstanceId> peer = prober.pickPeer(random, unreachable);
 //     prober.recordProbe(now, sequence, *peer);
-//     for (const InstanceId &peer : prober.tick(now, outbox, random)) { ... suspect peer ... }
+//     for (const InstanceId &peer : prober.tick(now, random, outbox)) { ... suspect peer ... }
 
 #include "sequoiausher/base/millis.h"
 #include "sequoiausher/coordination/messages/peermessage.h"
--- a/sequoiausher/coordination/membership/reachability.h
+++ b/sequoiausher/coordination/membership/reachability.h
@@ -3,10 +3,10 @@
 // Estimates which routers answer, by SWIM's suspicion with refutation. The estimate only saves time; no safety property
 // depends on it.
 //
-//     Reachability reachability({self, 7}, Millis{3000});
+//     Reachability reachability(self, 7, Millis{3000});
 //     reachability.suspect(now, peer);               // probes went unanswered
 //     reachability.tick(now);                        // after 3 s without refutation: unreachable
-//     reachability.confirmAlive(peer);                  // a message came: reachable again
+//     reachability.confirmAlive(peer);               // a message came: reachable again
 
 #include "sequoiausher/base/millis.h"
 #include "sequoiausher/coordination/messages/membershipmessages.h"
--- a/sequoiausher/coordination/membership/sumtable.cpp
+++ b/sequoiausher/coordination/membership/sumtable.cpp
@@ -7,6 +7,7 @@
 
 namespace {
 
+/** Added to the age of each received sum; longer than a message takes, see SumTable. */
 constexpr Millis hopAllowance{100};
 constexpr Millis dropInterval{1000};
 
@@ -25,6 +26,7 @@
     /** How often this sum was sent; starts at 0 with each newer sum. */
     std::uint32_t sends = 0;
     /** Value of sendCounter when the shard was last sent; 0 if it never was. */
+    /** Value of sendCounter when the sum was last sent; 0 if it never was. */
     std::uint64_t lastSend = 0;
 };
 
--- a/sequoiausher/coordination/messages/answermessages.h
+++ b/sequoiausher/coordination/messages/answermessages.h
@@ -14,7 +14,7 @@
 struct AnswerFragment
 {
     KeptAnswer answer;
-    /** Position of the first of bytes in the body. */
+    /** Position in the body of the first byte of bytes. */
     std::uint64_t offset = 0;
     std::string bytes;
 
@@ -24,7 +24,7 @@
 /** Stopping router to a router that stays: a page of answers for the receiver to keep. */
 struct AnswerPage
 {
-    /** Identifies this hand-over; differs each time the giver is started. */
+    /** Identifies this hand-over; differs each time the stopping router is started. */
     std::uint64_t handover = 0;
     /** Number of the page within the hand-over. */
     std::uint64_t sequence = 0;
@@ -33,7 +33,10 @@
     bool operator==(const AnswerPage &) const = default;
 };
 
-/** Receiver to giver: the page arrived and need not be sent again. The receiver may not have kept all its answers. */
+/**
+ * Receiver to stopping router: the page arrived and need not be sent again. The receiver may not have kept all its
+ * answers.
+ */
 struct AnswerPageAck
 {
     std::uint64_t handover = 0;
--- a/sequoiausher/coordination/messages/attachmessages.h
+++ b/sequoiausher/coordination/messages/attachmessages.h
@@ -14,7 +14,7 @@
 
 /** The state of an attempt at the holder of its claim. */
 enum class AttachVerdict {
-    /** The answer is running or kept; chunks follow. */
+    /** The answer has begun or is kept; chunks follow. */
     Follows,
     /** The attempt was abandoned before dispatch: it did not run, and the claim is free again. */
     NotRun,
--- a/sequoiausher/coordination/messages/gatewaymessages.h
+++ b/sequoiausher/coordination/messages/gatewaymessages.h
@@ -59,7 +59,10 @@
     InstanceId instance;
     /** Time since any gateway received a report from this one, as far as the gateways on the path know. */
     Millis age;
-    /** Relative capacity beside its callers' requests, without unit; the strongest gateways are hubs. */
+    /**
+     * Capacity that the gateway has besides what its callers' requests use; a relative number without unit. The
+     * strongest gateways are hubs.
+     */
     std::uint16_t strength = 0;
     /** The gateway's data centre; empty if no gateway on the path sends it. */
     DataCentreId dataCentre;
--- a/sequoiausher/coordination/messages/membershipmessages.h
+++ b/sequoiausher/coordination/messages/membershipmessages.h
@@ -32,9 +32,9 @@
 };
 
 /**
- * Whether one router answers probes. News merges by (incarnation, refutation, suspected): a router that receives a
- * suspicion of itself raises its refutation by one, which overrides the suspicion everywhere. This only saves time;
- * safety does not depend on it.
+ * Whether one router answers probes. Of two news items about a router, the one with the greater (incarnation,
+ * refutation, suspected) wins: a router that receives a suspicion of itself raises its refutation by one, which
+ * overrides the suspicion everywhere. This only saves time; safety does not depend on it.
  */
 struct ReachNews
 {
@@ -77,7 +77,10 @@
     std::vector<TargetNews> targets;
     std::vector<ShardSum> sums;
     std::vector<ReachNews> reach;
-    /** The sender's own demand, for the router that adds up the totals; at most demandsPerReport entries. */
+    /**
+     * The sender's own demand, for the collector (see DemandTable); at most demandsPerReport entries. Set only in
+     * reports to a collector, which are probes with sequence 0.
+     */
     std::vector<OrganisationDemand> demands;
     /** Totals over all routers, gossiped to the whole fleet. */
     std::vector<OrganisationDemand> fleetDemands;
--- a/sequoiausher/coordination/spread/configurationstate.cpp
+++ b/sequoiausher/coordination/spread/configurationstate.cpp
@@ -55,7 +55,7 @@
     std::optional<Error> refused;
     std::optional<std::uint64_t> checkedDigest;
     std::map<std::string, CheckResult> verdicts;
-    /** By the name of the refused document. */
+    /** The last good revision of each refused document, by the document's name. */
     std::map<std::string, DocumentPointer> lastGoodDocuments;
 };
 
@@ -74,7 +74,10 @@
     return verdict.error;
 }
 
-/** Returns the newest good revision that this router, or by the table another one, had in force; nullptr if unknown. */
+/**
+ * Returns the newest known good revision: the one in force on this router, or the one in the table under
+ * lastGoodName(), which another router had in force; nullptr if there is neither.
+ */
 DocumentPointer ConfigurationState::Private::lastGoodOf(const std::string &name, const DocumentTable &table)
 {
     DocumentPointer best;
--- a/sequoiausher/coordination/spread/relaytree.cpp
+++ b/sequoiausher/coordination/spread/relaytree.cpp
@@ -43,7 +43,10 @@
     std::vector<InstanceId> members;
     std::vector<std::uint64_t> hashes;
 
-    /** Returns a member's place in rendezvous order, from 1, without a sort. Most places have no children. */
+    /**
+     * Returns a member's place in rendezvous order, counted from 1, without sorting: most places have no children, and
+     * then children() needs no order.
+     */
     std::size_t placeOf(std::size_t member, std::uint64_t key) const
     {
         const std::uint64_t hash = this->hashes[member];
--- a/sequoiausher/coordination/spread/relaytree.h
+++ b/sequoiausher/coordination/spread/relaytree.h
@@ -33,7 +33,10 @@
     /** Returns the members that the root sends to: the first fanOut, each unreachable one replaced by its children. */
     std::vector<InstanceId> rootChildren(std::uint64_t key, std::size_t fanOut, const ReachableTest &isReachable) const;
 
-    /** Returns the members that self sends to, with the same replacement; none if self is not a member. */
+    /**
+     * Returns the members that self sends to, with the same replacement; none if self is not a member. An empty self is
+     * the root, as in rootChildren().
+     */
     std::vector<InstanceId>
     children(const InstanceId &self, std::uint64_t key, std::size_t fanOut, const ReachableTest &isReachable) const;
 
--- a/sequoiausher/coordination/spread/spread.cpp
+++ b/sequoiausher/coordination/spread/spread.cpp
@@ -61,7 +61,10 @@
     RelayTree tree;
     std::set<InstanceId> reachable;
     std::vector<InstanceId> peers;
-    /** Lower one of this router's places in the reader orders of the listed and of the reachable routers. */
+    /**
+     * This router's position in the rendezvous order for readerRankKey among the listed or the reachable routers,
+     * whichever is smaller; maxReaders if the platform does not list this router.
+     */
     std::size_t readerRank = 0;
 
     bool ready = false;
@@ -185,7 +188,8 @@
                                      bool atRoot,
                                      Outbox &outbox)
 {
-    // A router that is not ready yet relays documents that came along a tree, but not the many old ones that it pulls.
+    // A router that is not ready yet relays documents that came along a tree, but not the many old ones that it pulls
+    // or reads from the service; these have hops 1 here.
     const bool fromTree = hops > 1;
     if ((!this->ready && !fromTree) || hops > this->settings.maxHops) {
         return;
@@ -376,8 +380,8 @@
     }
     this->d->relayDocuments(fresh, 1, true, outbox);
     if (isComplete) {
-        // Becomes ready with the next tick at the earliest: the documents read may include the instance list with
-        // peers.
+        // ready is set by the next tick at the earliest, because it is never reset: the documents read may include the
+        // list of instances, and so name peers to compare with. isReady() may return true before that.
         this->d->hasAllServiceDocuments = true;
         this->d->refreshUntil.reset();
     }
--- a/sequoiausher/coordination/spread/spread.h
+++ b/sequoiausher/coordination/spread/spread.h
@@ -63,7 +63,10 @@
     std::size_t syncPeers = 2;
     /** Number of peers to which a router that is not ready sends comparisons per syncInterval. */
     std::size_t syncRequestPeers = 3;
-    /** After this time one ready peer is enough: when all routers restart, two ready peers would be rare for long. */
+    /**
+     * This long after the start, one ready peer is enough: when all routers restart, two ready peers would be rare for
+     * long. This long after the first peer was reachable, the service's documents are enough without any peer.
+     */
     Millis multiPeerSyncTimeout{3000};
     Millis syncInterval{1000};
     /** Time without any reachable peer after which a router reads the service itself. */
@@ -75,7 +78,10 @@
     Millis maxReadDelay{5000};
     /** The service counts as silent if no reader got an answer for this long; longer than a watch waits. */
     Millis serviceSilenceTimeout{30000};
-    /** After a pause a router is not ready until a peer confirms its documents, for at most this long. */
+    /**
+     * After a pause a router is not ready until a peer or a complete read of the service confirms its documents, for at
+     * most this long.
+     */
     Millis refreshTimeout{2000};
     /** A longer time without a tick means that this process was paused, even before the next tick detects the pause. */
     Millis maxTickGap{2000};
@@ -86,7 +92,7 @@
 {
     /** From the platform's list. */
     std::vector<InstanceId> listed;
-    /** Listed routers that answer and are not leaving. */
+    /** Membership::reachable(): this router, and listed routers that seem to answer and are not gone. */
     std::vector<InstanceId> reachable;
 };
 
@@ -144,13 +150,20 @@
     void receive(Millis now, const InstanceId &from, const DocumentDigest &digest, Outbox &outbox);
     void receive(Millis now, const InstanceId &from, const DocumentPull &pull, Outbox &outbox);
 
-    /** Compares the digest in a peer's gossip, and starts a repair if digests differ for longer than a push takes. */
+    /**
+     * Compares the digest in a peer's gossip with the own one. If they differ, starts a repair once the own table has
+     * been unchanged for repairQuietPeriod, or once digests have differed for mismatchTimeout; at most one per
+     * compareInterval.
+     */
     void receiveGossip(Millis now, const InstanceId &from, const Gossip &gossip, Outbox &outbox);
 
     /** Sends overdue pulls and due comparisons; call a few times a second. */
     void tick(Millis now, Outbox &outbox);
 
-    /** Call after a pause of this process: the router compares with peers before it counts as ready again. */
+    /**
+     * Call after a pause of this process: the router compares with peers, and is not ready until its documents are
+     * confirmed or refreshTimeout has passed.
+     */
     void resumeAfterPause(Millis now, Outbox &outbox);
 
     /** Returns whether the documents may be used: complete from peers or the service, and not outdated by a pause. */
--- a/sequoiausher/coordination/spread/spreadtest.cpp
+++ b/sequoiausher/coordination/spread/spreadtest.cpp
@@ -113,8 +113,8 @@
 {
     // Guards against reverting an accepted rule on some routers. Messages are lost, repeated and reordered, routers
     // pause, restart and are cut off, and readers see old states of the service. A router that kept whatever it
-    // received last would accept a late copy as new; the shadow that does this proves that these runs provoke the
-    // failure.
+    // received last would accept a late copy as new; naiveReversions counts this, which proves that these runs provoke
+    // the failure.
     std::uint64_t naiveReversions = 0;
     const bool holds = rc::check([&naiveReversions] {
         const auto seed = *rc::gen::inRange<std::uint64_t>(1, 1000000);
--- a/sequoiausher/coordination/spread/testfleet.h
+++ b/sequoiausher/coordination/spread/testfleet.h
@@ -44,7 +44,7 @@
     std::uint64_t messages = 0;
     /** How often a running router's revision of a document decreased. */
     std::uint64_t reversions = 0;
-    /** How often it decreased in a shadow of each router that keeps whatever the router received last. */
+    /** How often a revision would have decreased if each router kept whatever it received last. */
     std::uint64_t naiveReversions = 0;
 };
 
@@ -61,13 +61,17 @@
     /** Publishes the next revision of name at the service. */
     Revision publish(const std::string &name, const std::string &body, bool deleted = false);
     void setServiceDown(bool down);
-    /** Makes the service show this router its whole state of so many revisions ago, even documents already known. */
+    /**
+     * Makes the service show this router its whole state of revisionsAgo revisions ago, documents that the router
+     * already has included; 0 ends this.
+     */
     void setServiceStale(std::size_t router, std::size_t revisionsAgo);
+    /** Gives the router one document as if read from the service, as part of an incomplete read. */
     void learnFromService(std::size_t router, const Document &document);
 
     /** Messages pass only between routers of the same group. All start in group 0. */
     void setGroup(std::size_t router, int group);
-    /** Pauses the router for span; messages to it wait until then. */
+    /** Pauses the router for span; messages to it are delivered after the pause. */
     void pause(std::size_t router, Millis span);
     /** Restarts the router with empty memory. */
     void restart(std::size_t router);
