--- a/lab/bench/configbench.cpp
+++ b/lab/bench/configbench.cpp
@@ -90,7 +90,7 @@
 public:
     explicit Meter(TestFleet &measured) : fleet(measured)
     {
-        this->fleet.onLearnt = [this](std::size_t, const Document &document) {
+        this->fleet.onNewRevision = [this](std::size_t, const Document &document) {
             const auto published = this->publishedAt.find(document.revision);
             if (published != this->publishedAt.end()) {
                 this->delays.push_back((this->fleet.now() - published->second).count);
@@ -140,7 +140,7 @@
                 while (!fleet.isAlive(knows)) {
                     knows = random() % fleet.size();
                 }
-                fleet.learnFromService(knows, {name, document.revision, std::string(bodyBytes, 'x'), false});
+                fleet.addServiceDocument(knows, {name, document.revision, std::string(bodyBytes, 'x'), false});
             }
         }
         fleet.run(second / 10);
--- a/sequoiausher/coordination/membership/demandtable.cpp
+++ b/sequoiausher/coordination/membership/demandtable.cpp
@@ -11,7 +11,7 @@
 
 constexpr Millis minReportInterval{1000};
 /** Added to the report interval per live router: 10 ms gives a collector at most 100 reports a second. */
-constexpr std::int64_t millisPerRouter = 10;
+constexpr std::int64_t reportIntervalMillisPerRouter = 10;
 /** A report counts for this many intervals; a new collector waits as long before it publishes a total. */
 constexpr std::int64_t reportRetentionIntervals = 2;
 /** Longer than a message takes, so that a total that two routers send each other does not stay young. */
@@ -36,14 +36,14 @@
     double perSecond = 0;
     Millis at;
     /** Value of sendCounter when the total was last sent; 0 if it never was. */
-    std::uint64_t lastSend = 0;
+    std::uint64_t lastSendNumber = 0;
 };
 
 } // namespace
 
 Millis demandInterval(std::size_t routers)
 {
-    return std::max(minReportInterval, Millis{static_cast<std::int64_t>(routers) * millisPerRouter});
+    return std::max(minReportInterval, Millis{static_cast<std::int64_t>(routers) * reportIntervalMillisPerRouter});
 }
 
 class DemandTable::Private
@@ -190,11 +190,11 @@
     std::partial_sort(order.begin(),
                       order.begin() + static_cast<std::ptrdiff_t>(taken),
                       order.end(),
-                      [](const auto *a, const auto *b) { return a->second.lastSend < b->second.lastSend; });
+                      [](const auto *a, const auto *b) { return a->second.lastSendNumber < b->second.lastSendNumber; });
     std::vector<OrganisationDemand> news;
     for (std::size_t i = 0; i < taken; ++i) {
         Total &total = order[i]->second;
-        total.lastSend = ++this->d->sendCounter;
+        total.lastSendNumber = ++this->d->sendCounter;
         news.push_back(OrganisationDemand{order[i]->first, total.perSecond, now - total.at});
     }
     return news;
--- a/sequoiausher/coordination/membership/membership.cpp
+++ b/sequoiausher/coordination/membership/membership.cpp
@@ -59,7 +59,7 @@
     std::vector<ListedInstance> platformList;
     std::map<std::uint64_t, RelayedProbe> relayed;
     std::vector<MembershipEvent> events;
-    DocumentState documents;
+    GossipedDocuments documents;
     std::uint64_t lastSequence = 0;
     std::uint64_t viewVersion = 0;
     std::optional<Millis> lastTick;
@@ -276,7 +276,7 @@
         // Every probe from before the pause looks unanswered now. If this process acted on that, it would declare the
         // whole fleet unreachable right after a pause.
         this->d->prober.discardOpenProbes();
-        this->d->reachability.discardSuspicions();
+        this->d->reachability.stopSuspicionTimers();
         this->d->relayed.clear();
         this->d->events.push_back({MembershipEventKind::WokeLate, {}, {}, {}});
     }
@@ -402,7 +402,7 @@
     return this->d->demands.totals(now);
 }
 
-void Membership::setDocuments(const DocumentState &state)
+void Membership::setDocuments(const GossipedDocuments &state)
 {
     this->d->documents = state;
 }
--- a/sequoiausher/coordination/membership/membership.h
+++ b/sequoiausher/coordination/membership/membership.h
@@ -105,7 +105,7 @@
  * What gossip carries about this router's documents: the fields of Spread::summary(), repeated here so that membership
  * does not depend on spread.
  */
-struct DocumentState
+struct GossipedDocuments
 {
     std::uint64_t digest = 0;
     Revision highestRevision = 0;
@@ -169,7 +169,7 @@
     /** Returns the fleet's demand for each such organisation, with its age. */
     std::vector<OrganisationDemand> fleetDemands(Millis now) const;
 
-    void setDocuments(const DocumentState &state);
+    void setDocuments(const GossipedDocuments &state);
 
     /** Returns the platform's list; it holds this router only if the platform lists it. Witness sets use this alone. */
     std::vector<InstanceId> listed() const;
--- a/sequoiausher/coordination/membership/reachability.cpp
+++ b/sequoiausher/coordination/membership/reachability.cpp
@@ -160,7 +160,7 @@
     }
 }
 
-void Reachability::discardSuspicions()
+void Reachability::stopSuspicionTimers()
 {
     for (auto &[instance, peer] : this->d->peers) {
         peer.suspectedAt.reset();
--- a/sequoiausher/coordination/membership/reachability.h
+++ b/sequoiausher/coordination/membership/reachability.h
@@ -50,7 +50,7 @@
      * Stops the timers of all suspicions; for use after a pause of this process, which may itself have caused the
      * unanswered probes and expired suspicions.
      */
-    void discardSuspicions();
+    void stopSuspicionTimers();
 
     bool isReachable(const InstanceId &instance) const;
     /** Returns the listed routers that are not reachable. */
--- a/sequoiausher/coordination/membership/sumtable.cpp
+++ b/sequoiausher/coordination/membership/sumtable.cpp
@@ -27,7 +27,7 @@
     std::uint32_t sends = 0;
     /** Value of sendCounter when the shard was last sent; 0 if it never was. */
     /** Value of sendCounter when the sum was last sent; 0 if it never was. */
-    std::uint64_t lastSend = 0;
+    std::uint64_t lastSendNumber = 0;
 };
 
 ShardSum withAge(const KnownSum &known, Millis now)
@@ -102,11 +102,11 @@
     std::partial_sort(order.begin(),
                       order.begin() + static_cast<std::ptrdiff_t>(taken),
                       order.end(),
-                      [](const KnownSum *a, const KnownSum *b) { return a->lastSend < b->lastSend; });
+                      [](const KnownSum *a, const KnownSum *b) { return a->lastSendNumber < b->lastSendNumber; });
     std::vector<ShardSum> sums;
     for (std::size_t i = 0; i < taken; ++i) {
         order[i]->sends += 1;
-        order[i]->lastSend = ++this->d->sendCounter;
+        order[i]->lastSendNumber = ++this->d->sendCounter;
         sums.push_back(withAge(*order[i], now));
     }
     return sums;
--- a/sequoiausher/coordination/spread/configurationstate.cpp
+++ b/sequoiausher/coordination/spread/configurationstate.cpp
@@ -52,9 +52,9 @@
 
     DocumentChecker &checker;
     std::shared_ptr<const Configuration> current;
-    std::optional<Error> refused;
+    std::optional<Error> currentRefusal;
     std::optional<std::uint64_t> checkedDigest;
-    std::map<std::string, CheckResult> verdicts;
+    std::map<std::string, CheckResult> checkResults;
     /** The last good revision of each refused document, by the document's name. */
     std::map<std::string, DocumentPointer> lastGoodDocuments;
 };
@@ -67,11 +67,11 @@
 // Each document is checked on its own, so a result stays valid until the document has a new revision.
 const std::optional<Error> &ConfigurationState::Private::checkCached(const DocumentPointer &document)
 {
-    CheckResult &verdict = this->verdicts[document->name];
-    if (verdict.revision != document->revision) {
-        verdict = {document->revision, this->checker.check(document)};
+    CheckResult &result = this->checkResults[document->name];
+    if (result.revision != document->revision) {
+        result = {document->revision, this->checker.check(document)};
     }
-    return verdict.error;
+    return result.error;
 }
 
 /**
@@ -159,7 +159,7 @@
 
 bool ConfigurationState::Private::isNewRefusal(const std::optional<Error> &refusal) const
 {
-    return refusal && (!this->refused || std::string(refusal->what()) != this->refused->what());
+    return refusal && (!this->currentRefusal || std::string(refusal->what()) != this->currentRefusal->what());
 }
 
 OfferResult ConfigurationState::offer(const DocumentTable &table)
@@ -174,14 +174,14 @@
     Candidate candidate = this->d->buildCandidate(table);
     this->d->checkedDigest = digest;
     const bool isNewRefusal = this->d->isNewRefusal(candidate.refusal);
-    this->d->refused = candidate.refusal;
+    this->d->currentRefusal = candidate.refusal;
     const bool hasChanged = !this->d->current || this->d->current->versions != candidate.versions;
-    if (candidate.mustWait || (this->d->refused && !hasChanged)) {
+    if (candidate.mustWait || (this->d->currentRefusal && !hasChanged)) {
         return isNewRefusal ? OfferResult::Refused : OfferResult::Unchanged;
     }
     // Each document left is good on its own, so this check finds only errors that involve several documents.
     if (const auto error = this->d->checker.checkTogether(candidate.documents)) {
-        this->d->refused = error;
+        this->d->currentRefusal = error;
         return OfferResult::Refused;
     }
     auto documents = std::make_shared<const DocumentSet>(std::move(candidate.documents));
@@ -197,7 +197,7 @@
 
 const std::optional<Error> &ConfigurationState::refusal() const
 {
-    return this->d->refused;
+    return this->d->currentRefusal;
 }
 
 std::vector<Document> ConfigurationState::lastGood() const
--- a/sequoiausher/coordination/spread/spread.cpp
+++ b/sequoiausher/coordination/spread/spread.cpp
@@ -129,8 +129,8 @@
 
 std::size_t Spread::Private::syncTarget(Millis now) const
 {
-    const bool isWithinTimeout = this->startedAt && now - *this->startedAt < this->settings.multiPeerSyncTimeout;
-    return isWithinTimeout ? std::min(this->settings.syncPeers, this->peers.size()) : 1;
+    const bool needsSeveralPeers = this->startedAt && now - *this->startedAt < this->settings.syncTimeout;
+    return needsSeveralPeers ? std::min(this->settings.syncPeers, this->peers.size()) : 1;
 }
 
 /**
@@ -274,9 +274,9 @@
  */
 bool Spread::Private::mayTrustService(Millis now) const
 {
-    const bool isWithinTimeout = this->firstPeerAt && now - *this->firstPeerAt < this->settings.multiPeerSyncTimeout;
+    const bool waitsForPeers = this->firstPeerAt && now - *this->firstPeerAt < this->settings.syncTimeout;
     const std::size_t enough = std::min(this->settings.syncRequestPeers, this->peers.size());
-    return this->hasAllServiceDocuments && (!isWithinTimeout || this->unreadyPeers.size() >= enough);
+    return this->hasAllServiceDocuments && (!waitsForPeers || this->unreadyPeers.size() >= enough);
 }
 
 void Spread::Private::pullOverdue(Millis now, Outbox &outbox)
--- a/sequoiausher/coordination/spread/spread.h
+++ b/sequoiausher/coordination/spread/spread.h
@@ -67,7 +67,7 @@
      * This long after the start, one ready peer is enough: when all routers restart, two ready peers would be rare for
      * long. This long after the first peer was reachable, the service's documents are enough without any peer.
      */
-    Millis multiPeerSyncTimeout{3000};
+    Millis syncTimeout{3000};
     Millis syncInterval{1000};
     /** Time without any reachable peer after which a router reads the service itself. */
     Millis isolationTimeout{5000};
--- a/sequoiausher/coordination/spread/spreadtest.cpp
+++ b/sequoiausher/coordination/spread/spreadtest.cpp
@@ -182,7 +182,7 @@
     fleet.setServiceDown(true);
     fleet.run(second * 40);
     CHECK(readers(fleet).size() > 3);
-    fleet.learnFromService(7, {"a", fleet.publish("a", "2"), "2", false});
+    fleet.addServiceDocument(7, {"a", fleet.publish("a", "2"), "2", false});
     fleet.run(Millis{500});
     CHECK(routersThatDiffer(fleet) == 0);
     fleet.run(second * 200);
--- a/sequoiausher/coordination/spread/testfleet.cpp
+++ b/sequoiausher/coordination/spread/testfleet.cpp
@@ -172,8 +172,8 @@
         Revision &seen = router.seen[document.name];
         const Revision known = router.spread->documents().revisionOf(document.name);
         this->counts.reversions += known < seen ? 1 : 0;
-        if (known > seen && this->owner.onLearnt) {
-            this->owner.onLearnt(number, document);
+        if (known > seen && this->owner.onNewRevision) {
+            this->owner.onNewRevision(number, document);
         }
         seen = known;
     }
@@ -375,7 +375,7 @@
     this->d->routers[router].staleRevisions = revisionsAgo;
 }
 
-void TestFleet::learnFromService(std::size_t router, const Document &document)
+void TestFleet::addServiceDocument(std::size_t router, const Document &document)
 {
     this->d->learn(router, {document}, false);
 }
--- a/sequoiausher/coordination/spread/testfleet.h
+++ b/sequoiausher/coordination/spread/testfleet.h
@@ -67,7 +67,7 @@
      */
     void setServiceStale(std::size_t router, std::size_t revisionsAgo);
     /** Gives the router one document as if read from the service, as part of an incomplete read. */
-    void learnFromService(std::size_t router, const Document &document);
+    void addServiceDocument(std::size_t router, const Document &document);
 
     /** Messages pass only between routers of the same group. All start in group 0. */
     void setGroup(std::size_t router, int group);
@@ -85,7 +85,7 @@
     const TestFleetCounts &counts() const;
 
     /** Called when a router receives a revision that is new to it. */
-    std::function<void(std::size_t, const Document &)> onLearnt;
+    std::function<void(std::size_t, const Document &)> onNewRevision;
     /** Called for each message sent. */
     std::function<void(std::size_t, const PeerMessage &)> onSent;
     /** Called for each event of a router's membership. */
--- a/sequoiausher/transport/router/nodeprivate.cpp
+++ b/sequoiausher/transport/router/nodeprivate.cpp
@@ -325,7 +325,7 @@
         this->membership.setDemands(demands);
         demands = this->membership.fleetDemands(now);
         this->membership.setSums(now, own);
-        this->membership.setDocuments(DocumentState{summary.digest, summary.highestRevision, summary.serviceAge});
+        this->membership.setDocuments(GossipedDocuments{summary.digest, summary.highestRevision, summary.serviceAge});
         sums = this->membership.sums(now);
     }
     {
