--- a/sequoiausher/coordination/messages/claimmessages.h
+++ b/sequoiausher/coordination/messages/claimmessages.h
@@ -108,8 +108,9 @@
     /** The giver may lack earlier claims itself, so its pages do not count towards a hand-over. */
     bool giverAbstains = false;
     /**
-     * The giver is still pulling claims that it may lack since its start or a change of its list of instances. A
-     * witness that lacks earlier claims itself pulls from this giver again.
+     * The giver may still lack claims since its start or a change of its list of instances. For a witness that lacks
+     * claims since its own start, the giver then has not handed over, and the witness pulls from the giver again; for
+     * any other witness the last page completes the hand-over.
      */
     bool giverLearns = false;
     /** No page follows. */
