--- a/sequoiausher/coordination/answers/answerpropertytest.cpp
+++ b/sequoiausher/coordination/answers/answerpropertytest.cpp
@@ -34,11 +34,11 @@
     int loss = 0;
     int doubled = 0;
     int late = 0;
-    /** Pages of which one fragment is truncated or changed in flight. */
+    /** Share of pages of which one fragment is truncated or changed in flight. */
     int spoilt = 0;
-    /** Routers that die during another router's hand-over. */
+    /** Chance per step that a router dies during another router's hand-over. */
     int deaths = 0;
-    /** Routers that are missing from the list of the router that hands over. */
+    /** Share of routers that are missing from the list of the router that hands over. */
     int unlisted = 0;
     std::size_t totalBytes = std::size_t{1} << 20U;
 };
--- a/sequoiausher/coordination/answers/answersender.h
+++ b/sequoiausher/coordination/answers/answersender.h
@@ -1,8 +1,8 @@
 #pragma once
 
 // Sends the kept answers of a stopping router to the routers that stay. Each answer goes to the router with the highest
-// rendezvous weight for its key. The answers that ended last are sent first, in pages of bounded size, of which a
-// bounded number is in flight.
+// rendezvous weight for its key. Answers are sent in the order in which begin() receives them (AnswerTable::kept()
+// returns those that ended last first), in pages of bounded size, of which a bounded number is in flight.
 //
 //     AnswerSender sender(settings, handover, source);
 //     sender.begin(now, table.kept(now), makeInstanceList(liveOthers), outbox);
@@ -53,7 +53,10 @@
 {
     /** Acknowledged completely by a receiver. */
     std::size_t delivered = 0;
-    /** Not delivered: the time limit, the byte bound or a lack of receivers, or the answers were no longer kept. */
+    /**
+     * Not delivered because of the time limit, the byte bound or a lack of receivers, or because the answer was no
+     * longer kept.
+     */
     std::size_t undelivered = 0;
 
     bool operator==(const AnswerHandoverCount &) const = default;
--- a/sequoiausher/coordination/claims/ballot.h
+++ b/sequoiausher/coordination/claims/ballot.h
@@ -57,7 +57,10 @@
     std::vector<InstanceId> witnessesWithoutGrant() const;
     /** Witnesses that have not named another attempt, and so may have recorded this one. */
     std::vector<InstanceId> witnessesThatMayHaveRecorded() const;
-    /** Witnesses that granted or abstained. A witness that abstains may still record the claim. */
+    /**
+     * Witnesses that granted or abstained. An abstaining witness records the claim too, unless its store is full or it
+     * has received the withdrawal before.
+     */
     std::vector<InstanceId> witnessesThatRecorded() const;
 
     VoteCount countVotes() const;
--- a/sequoiausher/coordination/claims/claimant.h
+++ b/sequoiausher/coordination/claims/claimant.h
@@ -97,7 +97,7 @@
     /** Handles a vote. Late votes, duplicates, and votes of instances that are no witnesses of the key are harmless. */
     void receive(Millis now, const InstanceId &from, const ClaimVote &vote, Outbox &outbox);
     /**
-     * Repeats requests, ends claims that timed out, and renews claims of running attempts. Call it whenever
+     * Repeats requests, ends claims that timed out, and renews claims of dispatched attempts. Call it whenever
      * now >= nextDeadline(). A late call ends an overdue claim even if more votes might arrive.
      */
     void tick(Millis now, Outbox &outbox);
--- a/sequoiausher/coordination/claims/claimanttest.cpp
+++ b/sequoiausher/coordination/claims/claimanttest.cpp
@@ -128,10 +128,11 @@
     CHECK(outcome.holder == InstanceId{"other"});
 }
 
-// Guards against a retry that is answered with 'unknown' after a rolling update, although the key's answer is kept.
-// One witness of the key grants a second attempt, or, since it has just started, abstains but records it. The other
-// witnesses name the first attempt, to which the second one attaches without a withdrawal. Once these witnesses have
-// been replaced, those that pulled the claims of the first witness name the second attempt as the holder.
+// Guards against a retry that is answered with 'unknown' after a rolling update, although the key's answer is kept. One
+// witness of the key grants a second attempt, or, since it has just started, abstains but records it. The other
+// witnesses name the first attempt, which therefore has a quorum, so that the second attempt attaches to it without a
+// withdrawal. Once these other witnesses have been replaced, the new ones that pulled claims from that one witness name
+// the second attempt as the holder.
 TEST_CASE("an attempt that finds the key held withdraws from the witness that has recorded it")
 {
     Fixture f;
--- a/sequoiausher/coordination/claims/claimattempt.h
+++ b/sequoiausher/coordination/claims/claimattempt.h
@@ -45,7 +45,7 @@
     auto operator<=>(const Timer &) const = default;
 };
 
-/** Whether an attempt in this phase counts its key as running on this instance. */
+/** Whether an attempt in this phase is active, so that retries of its key on this instance join it. */
 constexpr bool isActive(Phase phase)
 {
     return phase != Phase::Withdrawn;
--- a/sequoiausher/coordination/claims/claimdifferentialtest.cpp
+++ b/sequoiausher/coordination/claims/claimdifferentialtest.cpp
@@ -77,8 +77,8 @@
             if (expected != ClaimOutcomeKind::Acquired) {
                 RC_ASSERT(outcome.heldBy == reference.knownClaim(key).attempt);
             }
-            // Soon, or certainly after the claim has expired. Within the dispatch window in between both results are
-            // right.
+            // The next call follows soon, or after the claim has certainly expired. In between, for the length of the
+            // dispatch window, both results are right.
             network.run(network.now() + (below(6) == 0 ? Millis{40000} : Millis{below(500) == 0 ? 1 : 2}));
         }
         RC_ASSERT(network.report().doubleRuns == 0U);
--- a/sequoiausher/coordination/claims/claimparameters.h
+++ b/sequoiausher/coordination/claims/claimparameters.h
@@ -6,10 +6,10 @@
 //     checkClaimParameters(parameters);
 //     parameters.faultTolerance();                 // 2
 //
-// Two attempts of one key can both reach a quorum only if the second attempt asks no witness that voted for the first
-// attempt and still remembers that vote. If the two witness sets differ in d members, and f of the voting witnesses
-// have forgotten their vote, both quorums share a witness that remembers while 2 * quorum > witnesses + d + f. The
-// defaults of 5 witnesses and a quorum of 4 allow d + f = 2.
+// Two attempts of one key can both reach a quorum only if no witness that granted the first attempt, and still
+// remembers it, belongs to the quorum of the second one. If the two witness sets differ in d members, and f of the
+// voting witnesses have forgotten their vote, both quorums share a witness that remembers while
+// 2 * quorum > witnesses + d + f. The defaults of 5 witnesses and a quorum of 4 allow d + f = 2.
 
 #include "sequoiausher/base/millis.h"
 
@@ -25,7 +25,10 @@
 
     bool operator==(const WitnessQuorum &) const = default;
 
-    /** The largest d + f with 2 * quorum > witnesses + d + f. */
+    /**
+     * How many members two quorums may lose from their overlap, by differing lists (d) or forgotten votes (f), and
+     * still share a witness: the largest d + f with 2 * quorum > witnesses + d + f.
+     */
     std::size_t faultTolerance() const;
 
     /**
@@ -57,13 +60,16 @@
     /** Delay before unanswered claim requests are sent again. */
     Millis retryDelay{150};
     /**
-     * Delay before two contending attempts ask again. The attempt that backs off waits at least twice as long, the
-     * other one exactly this long.
+     * Delay before contending attempts ask again. The attempt that backs off waits at least twice as long, the other
+     * one at most this long.
      */
     Millis contentionDelay{40};
-    /** How long a witness waits after a restart or a change of the list before it pulls claims; > dispatchWindow. */
+    /**
+     * How long a witness waits after a restart or a change of the list before it pulls claims. Must be longer than
+     * dispatchWindow.
+     */
     Millis settleTime{3000};
-    /** How long a withdrawal is remembered, in case that its claim request arrives later. */
+    /** How long a withdrawal is remembered, in case its claim request arrives later. */
     Millis tombstoneLifetime{60000};
     /** Retry delay named in a refusal, unless the witnesses name a longer one. */
     Millis retryAfter{1000};
--- a/sequoiausher/coordination/claims/claimpropertytest.cpp
+++ b/sequoiausher/coordination/claims/claimpropertytest.cpp
@@ -54,7 +54,8 @@
         constexpr int steps = 60;
         for (int step = 0; step < steps; ++step) {
             this->act();
-            // Bursts within the duration of a claim, and pauses as long as a restart takes.
+            // Two of three steps take less than 30 ms, within the duration of a claim; the others up to 3 s, as long as
+            // a restart takes.
             this->network.run(this->network.now() + Millis{this->below(3) == 0 ? this->below(3000) : this->below(30)});
         }
         this->network.run(this->network.now() + seconds(3));
--- a/sequoiausher/coordination/claims/claimstore.h
+++ b/sequoiausher/coordination/claims/claimstore.h
@@ -39,14 +39,16 @@
     StoreResult add(Millis now, const ClaimRecord &record);
 
     /**
-     * Removes the attempt's claim if its round is not later than round, and stores the withdrawal. Without the stored
-     * withdrawal, a claim request that arrives after its withdrawal would block the key until it expires.
+     * Removes the attempt's claim and stores the withdrawal. Has no effect if a later round of the attempt is stored; a
+     * full store does not remember the withdrawal of an attempt that it does not hold. Without the stored withdrawal, a
+     * claim request that arrives after its withdrawal would block the key until that claim expires.
      */
     void withdraw(Millis now, const ClaimKey &key, const RequestId &attempt, std::uint32_t round);
 
     /**
-     * About count claims that have not expired, beginning with the first key at or after from. The records of one key
-     * are not split over pages, so that a page may exceed count.
+     * Unexpired claims of the keys at or after from for which wanted(key) is true. The page ends before the first such
+     * key at which it already has count records or more. The records of one key are not split over pages, so a page may
+     * exceed count.
      */
     struct Page
     {
--- a/sequoiausher/coordination/claims/handover.h
+++ b/sequoiausher/coordination/claims/handover.h
@@ -21,10 +21,10 @@
 // In a fleet of more than maxHandoverInstances no claims are pulled, and gaps close by time: each witness then shares
 // thousands of claims with each of a thousand others, and pulling them takes longer than waiting.
 //
-// How many witnesses may be missing (WitnessQuorum::handover): with 5 witnesses and a quorum of 4, one witness of a
-// key, while another one differs from the witnesses of the claim. One dead instance therefore does not stop a
-// hand-over. If two of a key's other witnesses cannot be asked, the witness abstains for that key for claimRetention();
-// the key's other witnesses still vote.
+// How many witnesses may be missing (see WitnessQuorum): with 5 witnesses and a quorum of 4, one of the key's other
+// witnesses, even if one more member of the claim's quorum is not on this witness's list. One dead instance therefore
+// does not stop a hand-over. If two of a key's other witnesses cannot be asked, the witness abstains for that key for
+// claimRetention(); the key's other witnesses still vote.
 
 #include "sequoiausher/coordination/claims/claimparameters.h"
 #include "sequoiausher/coordination/claims/instancelist.h"
--- a/sequoiausher/coordination/claims/instancelist.h
+++ b/sequoiausher/coordination/claims/instancelist.h
@@ -28,7 +28,7 @@
     bool isSelected(const InstanceId &instance, const ClaimKey &key, std::size_t count) const;
 };
 
-/** The hash of a key, an argument of rendezvousWeight. */
+/** The hash of a key that is passed to rendezvousWeight and rendezvousOrder. */
 std::uint64_t witnessHash(const ClaimKey &key);
 
 /** Sorts names, removes duplicates, and hashes each name. */
--- a/sequoiausher/coordination/claims/witness.cpp
+++ b/sequoiausher/coordination/claims/witness.cpp
@@ -47,7 +47,7 @@
         if (fillVoteIfHeld(claims, request, vote)) {
             return;
         }
-        // Stored even if the witness abstains, so that a new witness learns the claims that their holders renew.
+        // Stored even if the witness abstains, so that a new witness receives the claims that their holders renew.
         const ClaimRecord record{request.key, request.attempt, request.round, request.bodyDigest, from, Millis{0}};
         const bool stored = this->store.add(now, record) == StoreResult::Stored;
         if (stored && this->handover.mayVote(now, request.key)) {
@@ -72,7 +72,11 @@
         return witnesses.size() < this->parameters.witnesses ? std::nullopt : std::optional(witnesses.back());
     }
 
-    /** Instances that received claims so recently that a claim of key among them may still be withdrawn. */
+    /**
+     * Instances that may have received a claim of key from this one: those that pulled claims within the last
+     * 2 * dispatchWindow, since older claims are past their dispatch window and no longer expected to be withdrawn,
+     * and, after handOverClaims(), the next witness of the key.
+     */
     std::set<InstanceId> claimRecipients(Millis now, const ClaimKey &key)
     {
         const auto isPast
@@ -91,7 +95,7 @@
     /**
      * Forwards a withdrawal to the instances that received the claim by a hand-over, since the attempt may not count
      * them as witnesses. Otherwise they would keep the claim of an attempt that never ran until it expires, and hand it
-     * over in turn. A retry would be sent to that attempt's router and, once this router is gone, be answered with
+     * over in turn. A retry would be sent to that attempt's router and, once that router is gone, be answered with
      * 'unknown' although another attempt's answer is kept. A withdrawal is forwarded only while the claim is stored
      * here, so that two instances do not forward it to each other forever.
      */
--- a/sequoiausher/coordination/claims/witness.h
+++ b/sequoiausher/coordination/claims/witness.h
@@ -3,7 +3,8 @@
 // The witness of one router: records which attempt claimed which idempotency key, and votes on new claims.
 //
 //     Witness witness(self, parameters, now);
-//     witness.setInstances(now, makeInstanceList(names));  // the platform's list, without own failure detection
+//     // names is the platform's list, not the result of the router's own failure detection
+//     witness.setInstances(now, makeInstanceList(names));
 //     witness.receive(now, from, claimRequest, outbox);    // a ClaimVote goes to from
 //     ... witness.tick(now, outbox) whenever now >= witness.nextDeadline(now)
 //
@@ -40,9 +41,9 @@
     /** Sends a vote to from. If another attempt holds the key, the vote names it even if this witness may not grant. */
     void receive(Millis now, const InstanceId &from, const ClaimRequest &request, Outbox &outbox);
     /**
-     * Frees the key if the attempt holds it in this or an earlier round. The withdrawal is stored in case that its
-     * claim request arrives later, and is forwarded to the instances that recently received the claim by
-     * handOverClaims() or by a page.
+     * Frees the key if the attempt holds it in this or an earlier round. The withdrawal is stored in case its claim
+     * request arrives later, and is forwarded to the instances that recently received the claim by handOverClaims() or
+     * by a page.
      */
     void receive(Millis now, const InstanceId &from, const ClaimWithdraw &withdrawal, Outbox &outbox);
     /** Sends one page of the claims for which from may be a witness. */
@@ -63,15 +64,18 @@
     void handOverClaims(Millis now, Outbox &outbox);
 
     /**
-     * Lets a fresh witness vote at once. Safe only if the platform's list states, for exactly this incarnation, that
-     * no request was dispatched within the last claimRetention(), as at the first start of a fleet. A restarted witness
-     * has another incarnation, so that the same statement does not apply to it.
+     * Lets a fresh witness vote at once. Safe only if the operator states in the platform's list, for exactly this
+     * incarnation, that no request was dispatched within the last claimRetention(), as at the first start of a fleet. A
+     * restarted witness has another incarnation, so that the same statement does not apply to it.
      */
     void assumeNoPriorClaims();
 
     /** Whether this witness would grant key if no attempt held it. */
     bool mayVote(Millis now, const ClaimKey &key) const;
-    /** Whether claims from before the start of this process may be missing. A fresh witness abstains for such keys. */
+    /**
+     * Whether claims from before the start of this process may be missing. A fresh witness abstains for each key whose
+     * claims it has not received by a hand-over.
+     */
     bool isFresh(Millis now) const;
     /** The number of stored claims and withdrawals. */
     std::size_t size() const;
--- a/sequoiausher/coordination/claims/witnesstest.cpp
+++ b/sequoiausher/coordination/claims/witnesstest.cpp
@@ -277,7 +277,7 @@
 // Guards against a retry that is answered with 'unknown' after a rolling update, although its key never ran, or another
 // attempt's answer is kept. A stopping witness hands a claim over to the key's next witness. Then the attempt is
 // refused for lack of capacity, and withdraws at the witnesses that it asked. The next witness is none of them and
-// keeps it.
+// keeps the claim.
 TEST_CASE("a withdrawal is forwarded to the instance that received the claim")
 {
     Fixture f({}, {"r1", "r2", "r3", "r4", "r5", "r6", "r7"});
