--- a/sequoiausher/coordination/answers/answerpropertytest.cpp
+++ b/sequoiausher/coordination/answers/answerpropertytest.cpp
@@ -31,15 +31,15 @@
 struct Faults
 {
     std::uint64_t seed = 1;
-    int loss = 0;
-    int doubled = 0;
-    int late = 0;
+    int lossPerMille = 0;
+    int duplicatePerMille = 0;
+    int latePerMille = 0;
     /** Share of pages of which one fragment is truncated or changed in flight. */
-    int spoilt = 0;
+    int corruptPerMille = 0;
     /** Chance per step that a router dies during another router's hand-over. */
-    int deaths = 0;
+    int deathPerMille = 0;
     /** Share of routers that are missing from the list of the router that hands over. */
-    int unlisted = 0;
+    int unlistedPerMille = 0;
     std::size_t totalBytes = std::size_t{1} << 20U;
 };
 
@@ -94,7 +94,7 @@
 
     void start(const InstanceId &name)
     {
-        this->processes[name] = std::make_unique<Process>(this->settings, ++this->lives);
+        this->processes[name] = std::make_unique<Process>(this->settings, ++this->processCount);
     }
 
     bool happens(int perMille)
@@ -115,10 +115,10 @@
         this->now = this->now + Millis{1};
     }
 
-    void spoil(Outgoing &out)
+    void corrupt(Outgoing &out)
     {
         auto *page = std::get_if<AnswerPage>(&out.message);
-        if (page == nullptr || page->fragments.empty() || !this->happens(this->faults.spoilt)) {
+        if (page == nullptr || page->fragments.empty() || !this->happens(this->faults.corruptPerMille)) {
             return;
         }
         AnswerFragment &fragment = page->fragments[this->random() % page->fragments.size()];
@@ -141,15 +141,15 @@
     void post(const InstanceId &from, Outbox &outbox)
     {
         for (Outgoing &out : outbox) {
-            if (this->happens(this->faults.loss)) {
+            if (this->happens(this->faults.lossPerMille)) {
                 continue;
             }
-            const int copies = this->happens(this->faults.doubled) ? 2 : 1;
+            const int copies = this->happens(this->faults.duplicatePerMille) ? 2 : 1;
             for (int i = 0; i < copies; ++i) {
-                const bool isLate = this->happens(this->faults.late);
+                const bool isLate = this->happens(this->faults.latePerMille);
                 const Millis at = this->now + Millis{isLate ? static_cast<std::int64_t>(this->random() % 2000) : 1};
                 Flight flight{from, out};
-                this->spoil(flight.out);
+                this->corrupt(flight.out);
                 this->flights.emplace(at, std::move(flight));
             }
         }
@@ -166,7 +166,7 @@
         Outbox outbox;
         if (const auto *page = std::get_if<AnswerPage>(&flight.out.message)) {
             process.receiver.receive(this->now, flight.from, *page, outbox);
-            for (ReceivedAnswer &taken : process.receiver.takeWholeAnswers()) {
+            for (ReceivedAnswer &taken : process.receiver.takeCompleteAnswers()) {
                 process.table.keep(this->now, taken.answer, std::move(taken.body));
             }
         } else if (const auto *ack = std::get_if<AnswerPageAck>(&flight.out.message)) {
@@ -198,7 +198,7 @@
     {
         std::vector<InstanceId> names;
         for (const auto &[name, process] : this->processes) {
-            if (process && name != without && (complete || !this->happens(this->faults.unlisted))) {
+            if (process && name != without && (complete || !this->happens(this->faults.unlistedPerMille))) {
                 names.push_back(name);
             }
         }
@@ -218,7 +218,7 @@
         process.sender.begin(this->now, process.table.kept(this->now), this->listOf(name, false), outbox);
         this->post(name, outbox);
         while (!process.sender.isDone()) {
-            if (this->happens(this->faults.deaths)) {
+            if (this->happens(this->faults.deathPerMille)) {
                 this->die(name);
             }
             this->advance();
@@ -258,7 +258,7 @@
     std::mt19937_64 random;
     Millis now{1000};
     AnswerSettings settings{std::size_t{1} << 20U, 4096, Millis{3600000}};
-    std::uint64_t lives = 0;
+    std::uint64_t processCount = 0;
     std::map<InstanceId, std::unique_ptr<Process>> processes;
     std::multimap<Millis, Flight> flights;
     std::vector<Original> originals;
@@ -312,12 +312,12 @@
     const bool holds = rc::check([] {
         Faults faults;
         faults.seed = *rc::gen::arbitrary<std::uint64_t>();
-        faults.loss = *rc::gen::inRange(0, 400);
-        faults.doubled = *rc::gen::inRange(0, 300);
-        faults.late = *rc::gen::inRange(0, 300);
-        faults.spoilt = *rc::gen::inRange(0, 200);
-        faults.deaths = *rc::gen::element(0, 0, 5, 20);
-        faults.unlisted = *rc::gen::element(0, 0, 200, 800);
+        faults.lossPerMille = *rc::gen::inRange(0, 400);
+        faults.duplicatePerMille = *rc::gen::inRange(0, 300);
+        faults.latePerMille = *rc::gen::inRange(0, 300);
+        faults.corruptPerMille = *rc::gen::inRange(0, 200);
+        faults.deathPerMille = *rc::gen::element(0, 0, 5, 20);
+        faults.unlistedPerMille = *rc::gen::element(0, 0, 200, 800);
         faults.totalBytes = *rc::gen::element<std::size_t>(1U << 20U, 20000, 4096, 0);
         Network network(faults);
         for (std::size_t i = 0; i < routerCount; ++i) {
@@ -334,9 +334,9 @@
     const bool holds = rc::check([] {
         Faults faults;
         faults.seed = *rc::gen::arbitrary<std::uint64_t>();
-        faults.loss = *rc::gen::inRange(0, 50);
-        faults.doubled = *rc::gen::inRange(0, 300);
-        faults.late = *rc::gen::inRange(0, 50);
+        faults.lossPerMille = *rc::gen::inRange(0, 50);
+        faults.duplicatePerMille = *rc::gen::inRange(0, 300);
+        faults.latePerMille = *rc::gen::inRange(0, 50);
         Network network(faults);
         for (std::size_t i = 0; i < 2 * routerCount; ++i) {
             network.replace(nameOfRouter(i % routerCount));
--- a/sequoiausher/coordination/answers/answerreceiver.cpp
+++ b/sequoiausher/coordination/answers/answerreceiver.cpp
@@ -35,7 +35,7 @@
     return one == other;
 }
 
-bool isWholeAnswer(const AnswerFragment &fragment)
+bool containsCompleteBody(const AnswerFragment &fragment)
 {
     return fragment.offset == 0 && fragment.bytes.size() == fragment.answer.length;
 }
@@ -52,7 +52,7 @@
     void finishAnswer(const KeptAnswer &answer, std::string body)
     {
         if (isWhole(answer, body)) {
-            this->whole.push_back(ReceivedAnswer{answer, std::move(body)});
+            this->completeAnswers.push_back(ReceivedAnswer{answer, std::move(body)});
         } else {
             ++this->dropped;
         }
@@ -93,7 +93,7 @@
             this->dropped += fragment.offset == 0 ? 1 : 0;
             return true;
         }
-        if (isWholeAnswer(fragment)) {
+        if (containsCompleteBody(fragment)) {
             this->finishAnswer(fragment.answer, fragment.bytes);
             return true;
         }
@@ -129,7 +129,7 @@
     AnswerReceiverSettings settings;
     std::map<PartialAnswerId, PartialAnswer> partials;
     std::uint64_t reserved = 0;
-    std::vector<ReceivedAnswer> whole;
+    std::vector<ReceivedAnswer> completeAnswers;
     std::uint64_t dropped = 0;
 };
 
@@ -165,9 +165,9 @@
     }
 }
 
-std::vector<ReceivedAnswer> AnswerReceiver::takeWholeAnswers()
+std::vector<ReceivedAnswer> AnswerReceiver::takeCompleteAnswers()
 {
-    return std::exchange(this->d->whole, {});
+    return std::exchange(this->d->completeAnswers, {});
 }
 
 std::uint64_t AnswerReceiver::dropped() const
--- a/sequoiausher/coordination/answers/answerreceiver.h
+++ b/sequoiausher/coordination/answers/answerreceiver.h
@@ -5,7 +5,7 @@
 //
 //     AnswerReceiver receiver(settings);
 //     receiver.receive(now, from, page, outbox);                  // acknowledges the page
-//     for (ReceivedAnswer &received : receiver.takeWholeAnswers()) {
+//     for (ReceivedAnswer &received : receiver.takeCompleteAnswers()) {
 //         table.keep(now, received.answer, std::move(received.body));
 //     }
 //
@@ -52,7 +52,7 @@
     void tick(Millis now);
 
     /** Returns the answers completed since the last call. The same answer may be returned twice. */
-    std::vector<ReceivedAnswer> takeWholeAnswers();
+    std::vector<ReceivedAnswer> takeCompleteAnswers();
     /** The number of answers dropped so far: incomplete, invalid, too large, or beyond maxIncompleteBytes. */
     std::uint64_t dropped() const;
     /** Bytes reserved for answers that are not complete yet. */
--- a/sequoiausher/coordination/answers/answerreceivertest.cpp
+++ b/sequoiausher/coordination/answers/answerreceivertest.cpp
@@ -36,12 +36,12 @@
 
 std::size_t wholeOf(AnswerReceiver &receiver)
 {
-    const std::vector<ReceivedAnswer> whole = receiver.takeWholeAnswers();
-    for (const ReceivedAnswer &taken : whole) {
+    const std::vector<ReceivedAnswer> completeAnswers = receiver.takeCompleteAnswers();
+    for (const ReceivedAnswer &taken : completeAnswers) {
         CHECK(taken.body == body);
         CHECK(isWhole(taken.answer, taken.body));
     }
-    return whole.size();
+    return completeAnswers.size();
 }
 
 } // namespace
@@ -161,6 +161,6 @@
 {
     AnswerReceiver receiver(small);
     CHECK(give(receiver, {{answerOf(1, ""), 0, ""}}));
-    REQUIRE(receiver.takeWholeAnswers().size() == 1);
+    REQUIRE(receiver.takeCompleteAnswers().size() == 1);
     CHECK(give(receiver, {}));
 }
--- a/sequoiausher/coordination/answers/answersender.cpp
+++ b/sequoiausher/coordination/answers/answersender.cpp
@@ -200,9 +200,9 @@
 };
 
 AnswerSender::AnswerSender(const AnswerHandoverSettings &settings,
-                           std::uint64_t handover,
+                           std::uint64_t handoverId,
                            const AnswerBodySource &source)
-    : d(std::make_unique<Private>(settings, handover, source))
+    : d(std::make_unique<Private>(settings, handoverId, source))
 {
 }
 
@@ -247,9 +247,9 @@
     this->d->sendPages(now, outbox);
 }
 
-void AnswerSender::peerLost(Millis now, const InstanceId &peer, Outbox &outbox)
+void AnswerSender::removeReceiver(Millis now, const InstanceId &receiver, Outbox &outbox)
 {
-    this->d->removeReceiver(peer);
+    this->d->removeReceiver(receiver);
     this->d->sendPages(now, outbox);
 }
 
@@ -262,8 +262,8 @@
         this->d->giveUp();
         return;
     }
-    while (const std::optional<InstanceId> silent = this->d->resend(now, outbox)) {
-        this->d->removeReceiver(*silent);
+    while (const std::optional<InstanceId> unresponsive = this->d->resend(now, outbox)) {
+        this->d->removeReceiver(*unresponsive);
     }
     this->d->sendPages(now, outbox);
 }
--- a/sequoiausher/coordination/answers/answersender.h
+++ b/sequoiausher/coordination/answers/answersender.h
@@ -66,8 +66,11 @@
 class AnswerSender
 {
 public:
-    /** @param handover unique to this process of the router. @param source must outlive the sender. */
-    AnswerSender(const AnswerHandoverSettings &settings, std::uint64_t handover, const AnswerBodySource &source);
+    /**
+     * @param handoverId identifies this hand-over; no other process of the router may use the same one.
+     * @param source must outlive the sender.
+     */
+    AnswerSender(const AnswerHandoverSettings &settings, std::uint64_t handoverId, const AnswerBodySource &source);
     ~AnswerSender();
     AnswerSender(const AnswerSender &) = delete;
     AnswerSender &operator=(const AnswerSender &) = delete;
@@ -80,7 +83,7 @@
     void begin(Millis now, const std::vector<KeptAnswer> &answers, const InstanceList &receivers, Outbox &outbox);
     void receive(Millis now, const InstanceId &from, const AnswerPageAck &ack, Outbox &outbox);
     /** Removes a receiver that is no longer reachable or that stops as well. */
-    void peerLost(Millis now, const InstanceId &peer, Outbox &outbox);
+    void removeReceiver(Millis now, const InstanceId &receiver, Outbox &outbox);
     /** Sends overdue pages again, and applies the time limit. Call it several times per resendDelay. */
     void tick(Millis now, Outbox &outbox);
 
--- a/sequoiausher/coordination/answers/answersendertest.cpp
+++ b/sequoiausher/coordination/answers/answersendertest.cpp
@@ -192,7 +192,7 @@
     }
     SUBCASE("the only receiver is lost: the hand-over ends and the answers are undelivered")
     {
-        sender.peerLost(Millis{10}, one, outbox);
+        sender.removeReceiver(Millis{10}, one, outbox);
         CHECK(sender.isDone());
         CHECK(sender.count() == AnswerHandoverCount{0, 2});
     }
@@ -245,7 +245,7 @@
     outbox.clear();
     sender.receive(Millis{5}, one, AnswerPageAck{handover, firstPage.sequence}, outbox);
     outbox.clear();
-    sender.peerLost(Millis{10}, one, outbox);
+    sender.removeReceiver(Millis{10}, one, outbox);
     CHECK(pagesTo(one, outbox).empty());
     std::map<RequestId, std::string> got;
     for (const AnswerPage &page : acknowledgeAll(sender, Millis{20}, outbox)) {
--- a/sequoiausher/coordination/claims/claimant.cpp
+++ b/sequoiausher/coordination/claims/claimant.cpp
@@ -42,16 +42,16 @@
     void setPhase(Attempt &attempt, Phase phase)
     {
         if (isActive(attempt.phase) && !isActive(phase)) {
-            this->removeRunning(attempt.claim.key);
+            this->removeActiveAttempt(attempt.claim.key);
         }
         attempt.phase = phase;
     }
 
-    void removeRunning(const ClaimKey &key)
+    void removeActiveAttempt(const ClaimKey &key)
     {
-        const auto found = this->running.find(key);
-        if (found != this->running.end() && --found->second == 0) {
-            this->running.erase(found);
+        const auto found = this->activeAttempts.find(key);
+        if (found != this->activeAttempts.end() && --found->second == 0) {
+            this->activeAttempts.erase(found);
         }
     }
 
@@ -297,7 +297,7 @@
     ClaimParameters parameters;
     InstanceList list;
     std::unordered_map<RequestId, Attempt> attempts;
-    std::unordered_map<ClaimKey, int> running;
+    std::unordered_map<ClaimKey, int> activeAttempts;
     std::set<Timer> timers;
     std::vector<ClaimOutcome> outcomes;
 };
@@ -330,7 +330,7 @@
     attempt.round = round;
     attempt.ballot = Ballot(this->d->list.selectInstances(claim.key, quorum.witnesses), quorum.quorum);
     attempt.giveUpAt = now + this->d->parameters.claimTimeout;
-    ++this->d->running[claim.key];
+    ++this->d->activeAttempts[claim.key];
     this->d->startRound(now, attempt, outbox);
     this->d->evaluate(now, attempt, outbox);
 }
@@ -419,13 +419,13 @@
     if (attempt == nullptr || attempt->phase != Phase::Dispatched) {
         return;
     }
-    this->d->removeRunning(attempt->claim.key);
+    this->d->removeActiveAttempt(attempt->claim.key);
     this->d->forget(*attempt);
 }
 
-bool Claimant::isRunning(const ClaimKey &key) const
+bool Claimant::hasActiveAttempt(const ClaimKey &key) const
 {
-    return this->d->running.contains(key);
+    return this->d->activeAttempts.contains(key);
 }
 
 std::size_t Claimant::size() const
--- a/sequoiausher/coordination/claims/claimant.h
+++ b/sequoiausher/coordination/claims/claimant.h
@@ -147,7 +147,7 @@
     void finishAttempt(const RequestId &attempt);
 
     /** Whether this claimant has an active attempt of key; a retry can join that attempt without a claim. */
-    bool isRunning(const ClaimKey &key) const;
+    bool hasActiveAttempt(const ClaimKey &key) const;
     /** The number of attempts in memory, including those withdrawn recently. */
     std::size_t size() const;
 
--- a/sequoiausher/coordination/claims/claimanttest.cpp
+++ b/sequoiausher/coordination/claims/claimanttest.cpp
@@ -81,11 +81,11 @@
     const ClaimOutcome outcome = f.only();
     CHECK(outcome.kind == ClaimOutcomeKind::Acquired);
     CHECK(outcome.dispatchBy == start + ClaimParameters{}.dispatchWindow);
-    CHECK(f.claimant.isRunning(key));
+    CHECK(f.claimant.hasActiveAttempt(key));
     CHECK(f.claimant.mayDispatch(mine, start + Millis{4}));
     CHECK_FALSE(f.claimant.mayDispatch(mine, start + Millis{4}));
     f.claimant.finishAttempt(mine);
-    CHECK_FALSE(f.claimant.isRunning(key));
+    CHECK_FALSE(f.claimant.hasActiveAttempt(key));
     CHECK(f.claimant.size() == 0);
 }
 
@@ -103,7 +103,7 @@
         CHECK_FALSE(f.claimant.mayDispatch(mine, late));
         f.tick(late);
         CHECK(f.sent<ClaimWithdraw>() == 5);
-        CHECK_FALSE(f.claimant.isRunning(key));
+        CHECK_FALSE(f.claimant.hasActiveAttempt(key));
     }
     SUBCASE("before the votes are read")
     {
--- a/sequoiausher/coordination/claims/claimparameters.cpp
+++ b/sequoiausher/coordination/claims/claimparameters.cpp
@@ -25,21 +25,21 @@
 
 } // namespace
 
-std::size_t WitnessQuorum::faultTolerance() const
+std::size_t WitnessQuorum::overlapMargin() const
 {
     const std::size_t twice = 2 * this->quorum;
     return twice > this->witnesses ? twice - this->witnesses - 1 : 0;
 }
 
-WitnessQuorum::Handover WitnessQuorum::handover() const
+WitnessQuorum::HandoverLimit WitnessQuorum::handoverLimit() const
 {
     // The witness that pulls the claims, and one other member of the quorum.
     constexpr std::size_t minHandoverMembers = 2;
     if (this->quorum < minHandoverMembers) {
-        return Handover{};
+        return HandoverLimit{};
     }
     const std::size_t spare = this->quorum - minHandoverMembers;
-    return Handover{true, spare - std::min<std::size_t>(spare, 1)};
+    return HandoverLimit{true, spare - std::min<std::size_t>(spare, 1)};
 }
 
 Millis ClaimParameters::claimRetention() const
@@ -47,9 +47,9 @@
     return this->lifetime + this->dispatchWindow;
 }
 
-std::size_t ClaimParameters::faultTolerance() const
+std::size_t ClaimParameters::overlapMargin() const
 {
-    return WitnessQuorum{this->witnesses, this->quorum}.faultTolerance();
+    return WitnessQuorum{this->witnesses, this->quorum}.overlapMargin();
 }
 
 WitnessQuorum ClaimParameters::quorumFor(std::size_t instances) const
@@ -57,7 +57,7 @@
     if (instances >= this->witnesses) {
         return WitnessQuorum{this->witnesses, this->quorum};
     }
-    const std::size_t toleratingQuorum = (instances + this->faultTolerance()) / 2 + 1;
+    const std::size_t toleratingQuorum = (instances + this->overlapMargin()) / 2 + 1;
     return WitnessQuorum{instances, std::max<std::size_t>(1, std::min(instances, toleratingQuorum))};
 }
 
--- a/sequoiausher/coordination/claims/claimparameters.h
+++ b/sequoiausher/coordination/claims/claimparameters.h
@@ -4,7 +4,7 @@
 //
 //     ClaimParameters parameters;             // parseRouterSettings() fills it from [claims]
 //     checkClaimParameters(parameters);
-//     parameters.faultTolerance();                 // 2
+//     parameters.overlapMargin();                 // 2
 //
 // Two attempts of one key can both reach a quorum only if no witness that granted the first attempt, and still
 // remembers it, belongs to the quorum of the second one. If the two witness sets differ in d members, and f of the
@@ -29,7 +29,7 @@
      * How many members two quorums may lose from their overlap, by differing lists (d) or forgotten votes (f), and
      * still share a witness: the largest d + f with 2 * quorum > witnesses + d + f.
      */
-    std::size_t faultTolerance() const;
+    std::size_t overlapMargin() const;
 
     /**
      * How many of a key's other witnesses may be missing from a hand-over: quorum - 2 - d, with d = 1 if the quorum
@@ -38,12 +38,12 @@
      * least one of the others. With a quorum of 1, possible is false: no other witness has the claim, and the witness
      * has to wait until it has expired.
      */
-    struct Handover
+    struct HandoverLimit
     {
         bool possible = false;
         std::size_t maxMissing = 0;
     };
-    Handover handover() const;
+    HandoverLimit handoverLimit() const;
 };
 
 /** Settings of claims, checked by checkClaimParameters. All times are durations. */
@@ -86,11 +86,11 @@
     Millis claimRetention() const;
 
     /** The largest d + f that is safe in a fleet with at least as many instances as witnesses. */
-    std::size_t faultTolerance() const;
+    std::size_t overlapMargin() const;
 
     /**
      * The witnesses and the quorum for a list of instances. With n < witnesses, there are n witnesses, and
-     * quorum = min(n, floor((n + faultTolerance()) / 2) + 1): the smallest quorum with the same fault tolerance, or
+     * quorum = min(n, floor((n + overlapMargin()) / 2) + 1): the smallest quorum with the same overlap margin, or
      * all n. An empty list has no witnesses and a quorum of 1, which is never reached.
      */
     WitnessQuorum quorumFor(std::size_t instances) const;
--- a/sequoiausher/coordination/claims/claimparameterstest.cpp
+++ b/sequoiausher/coordination/claims/claimparameterstest.cpp
@@ -10,9 +10,9 @@
 {
     const ClaimParameters shipped;
     CHECK_NOTHROW(checkClaimParameters(shipped));
-    CHECK(shipped.faultTolerance() == 2);
-    CHECK(shipped.quorumFor(7).handover().maxMissing == 1);
-    CHECK_FALSE(shipped.quorumFor(1).handover().possible);
+    CHECK(shipped.overlapMargin() == 2);
+    CHECK(shipped.quorumFor(7).handoverLimit().maxMissing == 1);
+    CHECK_FALSE(shipped.quorumFor(1).handoverLimit().possible);
 }
 
 TEST_CASE("in fleets smaller than the witness set, two quorums still share a witness")
--- a/sequoiausher/coordination/claims/handover.cpp
+++ b/sequoiausher/coordination/claims/handover.cpp
@@ -43,7 +43,7 @@
 class Handover::Private
 {
 public:
-    bool isOpen(const Gap &gap, Millis now) const
+    bool isUnexpired(const Gap &gap, Millis now) const
     {
         return now < gap.since + this->parameters.claimRetention();
     }
@@ -57,17 +57,17 @@
     /** Whether all of witnesses but maxMissing have handed over; fresh: the gap is that of the start. */
     bool hasEnoughGivers(const std::vector<InstanceId> &witnesses, const WitnessQuorum &quorum, bool fresh) const
     {
-        const WitnessQuorum::Handover handover = quorum.handover();
+        const WitnessQuorum::HandoverLimit limit = quorum.handoverLimit();
         // A quorum of 1 rules out a hand-over at a start only. In a list under which this instance was no witness, the
         // whole quorum consists of other instances, so that a hand-over is possible with any quorum.
-        if (fresh && !handover.possible) {
+        if (fresh && !limit.possible) {
             return false;
         }
         const auto isMissing = [&](const InstanceId &witness) {
             return witness != this->self && !this->isHandoverComplete(witness, fresh);
         };
         const auto missing = std::count_if(witnesses.begin(), witnesses.end(), isMissing);
-        return static_cast<std::size_t>(missing) <= handover.maxMissing;
+        return static_cast<std::size_t>(missing) <= limit.maxMissing;
     }
 
     /**
@@ -76,7 +76,7 @@
      */
     bool wasProvablyWitness(const Gap &gap, const ClaimKey &key) const
     {
-        const std::uint64_t keyHash = witnessHash(key);
+        const std::uint64_t keyHash = rendezvousHash(key);
         const std::uint64_t own = rendezvousWeight(hash64(this->self.value), keyHash);
         return gap.includedSelf
             && std::all_of(gap.departedHashes.begin(), gap.departedHashes.end(), [&](std::uint64_t member) {
@@ -104,7 +104,7 @@
         std::erase_if(this->gaps, [&](const Gap &gap) {
             const bool fresh = gap.list.names.empty();
             const InstanceList &base = fresh ? this->list : gap.list;
-            return !this->isOpen(gap, now)
+            return !this->isUnexpired(gap, now)
                 || (!base.names.empty()
                     && this->hasEnoughGivers(base.names, this->parameters.quorumFor(base.names.size()), fresh));
         });
@@ -220,7 +220,7 @@
         return false;
     }
     return std::all_of(this->d->gaps.begin(), this->d->gaps.end(), [&](const Gap &gap) {
-        return !this->d->isOpen(gap, now) || this->d->isClosedFor(gap, key);
+        return !this->d->isUnexpired(gap, now) || this->d->isClosedFor(gap, key);
     });
 }
 
@@ -230,10 +230,10 @@
     const Millis handoverBy = this->d->firstPullAt + this->d->parameters.settleTime;
     const bool canPull = this->d->list.names.size() > 1 && this->d->mayPull();
     for (const Gap &gap : this->d->gaps) {
-        if (this->d->isOpen(gap, now) && !this->d->isClosedFor(gap, key)) {
-            const Millis forgottenAt = gap.since + this->d->parameters.claimRetention();
-            const bool mayStillLearn = now < handoverBy && canPull && !this->d->mostGiversHaveGaps();
-            wait = std::max(wait, (mayStillLearn ? handoverBy : forgottenAt) - now);
+        if (this->d->isUnexpired(gap, now) && !this->d->isClosedFor(gap, key)) {
+            const Millis gapExpiresAt = gap.since + this->d->parameters.claimRetention();
+            const bool mayStillPull = now < handoverBy && canPull && !this->d->mostGiversHaveGaps();
+            wait = std::max(wait, (mayStillPull ? handoverBy : gapExpiresAt) - now);
         }
     }
     return wait;
@@ -242,14 +242,14 @@
 bool Handover::isFresh(Millis now) const
 {
     return std::any_of(this->d->gaps.begin(), this->d->gaps.end(), [&](const Gap &gap) {
-        return gap.list.names.empty() && this->d->isOpen(gap, now);
+        return gap.list.names.empty() && this->d->isUnexpired(gap, now);
     });
 }
 
 bool Handover::hasOpenGap(Millis now) const
 {
     return std::any_of(
-        this->d->gaps.begin(), this->d->gaps.end(), [&](const Gap &gap) { return this->d->isOpen(gap, now); });
+        this->d->gaps.begin(), this->d->gaps.end(), [&](const Gap &gap) { return this->d->isUnexpired(gap, now); });
 }
 
 void Handover::closeStartGap()
--- a/sequoiausher/coordination/claims/instancelist.cpp
+++ b/sequoiausher/coordination/claims/instancelist.cpp
@@ -4,7 +4,7 @@
 
 namespace Sequoiausher {
 
-std::uint64_t witnessHash(const ClaimKey &key)
+std::uint64_t rendezvousHash(const ClaimKey &key)
 {
     return key.high ^ key.low;
 }
@@ -17,7 +17,7 @@
 std::vector<InstanceId> InstanceList::selectInstances(const ClaimKey &key, std::size_t count) const
 {
     std::vector<InstanceId> members;
-    for (const std::size_t index : rendezvousOrder(this->hashes, witnessHash(key), count)) {
+    for (const std::size_t index : rendezvousOrder(this->hashes, rendezvousHash(key), count)) {
         members.push_back(this->names[index]);
     }
     return members;
@@ -25,7 +25,7 @@
 
 bool InstanceList::isSelected(const InstanceId &instance, const ClaimKey &key, std::size_t count) const
 {
-    const auto order = rendezvousOrder(this->hashes, witnessHash(key), count);
+    const auto order = rendezvousOrder(this->hashes, rendezvousHash(key), count);
     return std::any_of(order.begin(), order.end(), [&](std::size_t index) { return this->names[index] == instance; });
 }
 
--- a/sequoiausher/coordination/claims/instancelist.h
+++ b/sequoiausher/coordination/claims/instancelist.h
@@ -29,7 +29,7 @@
 };
 
 /** The hash of a key that is passed to rendezvousWeight and rendezvousOrder. */
-std::uint64_t witnessHash(const ClaimKey &key);
+std::uint64_t rendezvousHash(const ClaimKey &key);
 
 /** Sorts names, removes duplicates, and hashes each name. */
 InstanceList makeInstanceList(std::vector<InstanceId> names);
--- a/sequoiausher/coordination/claims/witness.cpp
+++ b/sequoiausher/coordination/claims/witness.cpp
@@ -156,7 +156,7 @@
 void Witness::receive(Millis now, const InstanceId &from, const ClaimPull &pull, Outbox &outbox)
 {
     const InstanceList &list = this->d->handover.instances();
-    const std::size_t ranks = this->d->parameters.witnesses + this->d->parameters.faultTolerance();
+    const std::size_t ranks = this->d->parameters.witnesses + this->d->parameters.overlapMargin();
     const bool known = list.contains(from);
     // More ranks than there are witnesses, since the list of the other instance may lack instances of this one.
     const auto wanted = [&](const ClaimKey &key) { return !known || list.isSelected(from, key, ranks); };
--- a/sequoiausher/transport/router/answerhandover.cpp
+++ b/sequoiausher/transport/router/answerhandover.cpp
@@ -30,7 +30,7 @@
 void AnswerHandover::receive(Millis now, const InstanceId &from, const AnswerPage &page, Outbox &outbox)
 {
     this->taker.receive(now, from, page, outbox);
-    for (ReceivedAnswer &taken : this->taker.takeWholeAnswers()) {
+    for (ReceivedAnswer &taken : this->taker.takeCompleteAnswers()) {
         const bool kept = this->table.keep(now, taken.answer, std::move(taken.body));
         this->metrics.add(kept ? "answers_taken_over_total" : "answers_not_taken_over_total");
     }
@@ -44,7 +44,7 @@
 
 void AnswerHandover::peerLost(Millis now, const InstanceId &peer, Outbox &outbox)
 {
-    this->giver.peerLost(now, peer, outbox);
+    this->giver.removeReceiver(now, peer, outbox);
     this->tellEnd();
 }
 
