--- a/sequoiausher/coordination/claims/claimparameters.cpp
+++ b/sequoiausher/coordination/claims/claimparameters.cpp
@@ -9,6 +9,7 @@
 
 namespace {
 
+/** @param reason follows the word "expected" in the message of the settings. */
 [[noreturn]] void throwSettingsError(const std::string &reason)
 {
     throw Error(Step::Settings, "claims", reason);
@@ -64,25 +65,25 @@
 void checkClaimParameters(const ClaimParameters &parameters)
 {
     if (parameters.witnesses == 0 || parameters.quorum > parameters.witnesses) {
-        throwSettingsError("quorum must be at most witnesses, and witnesses at least 1");
+        throwSettingsError("quorum to be at most witnesses, and witnesses at least 1");
     }
     if (2 * parameters.quorum <= parameters.witnesses) {
-        throwSettingsError("two quorums need not meet: 2 * quorum must be larger than witnesses");
+        throwSettingsError("2 * quorum to be larger than witnesses, so that two quorums share a witness");
     }
     if (parameters.claimTimeout >= parameters.dispatchWindow) {
-        throwSettingsError("claim_timeout_ms must be shorter than dispatch_window_ms");
+        throwSettingsError("claim_timeout_ms to be shorter than dispatch_window_ms");
     }
     if (parameters.settleTime <= parameters.dispatchWindow) {
-        throwSettingsError("settle_time_ms must be longer than dispatch_window_ms");
+        throwSettingsError("settle_time_ms to be longer than dispatch_window_ms");
     }
     constexpr std::int64_t minWindowsPerLifetime = 10;
     if (parameters.dispatchWindow * minWindowsPerLifetime > parameters.lifetime) {
-        throwSettingsError("dispatch_window_ms must be at most a tenth of lifetime_ms");
+        throwSettingsError("dispatch_window_ms to be at most a tenth of lifetime_ms");
     }
     const bool positive = std::all_of(
         durations.begin(), durations.end(), [&](const auto span) { return parameters.*span > Millis{0}; });
     if (!positive || parameters.maxRecords == 0 || parameters.pageRecords == 0) {
-        throwSettingsError("every time limit and bound must be larger than 0");
+        throwSettingsError("every time limit and bound to be larger than 0");
     }
 }
 
--- a/sequoiausher/protocol/settings/routersettingstest.cpp
+++ b/sequoiausher/protocol/settings/routersettingstest.cpp
@@ -135,15 +135,15 @@
          "r.ini:8: [peers]: found probe_timeout_ms 5000, expected at most probe_interval_ms, 1000"},
         {"",
          "[claims]\nquorum = 2\n",
-         "r.ini:8: [claims]: found values that contradict each other, expected two quorums need not meet: 2 * quorum "
-         "must be larger than witnesses"},
+         "r.ini:8: [claims]: found values that contradict each other, expected 2 * quorum to be larger than "
+         "witnesses, so that two quorums share a witness"},
         {"",
          "[claims]\nquorum = 6\n",
-         "r.ini:8: [claims]: found values that contradict each other, expected quorum must be at most witnesses, and "
+         "r.ini:8: [claims]: found values that contradict each other, expected quorum to be at most witnesses, and "
          "witnesses at least 1"},
         {"",
          "[claims]\nlifetime_ms = 10000\n",
-         "r.ini:8: [claims]: found values that contradict each other, expected dispatch_window_ms must be at most a "
+         "r.ini:8: [claims]: found values that contradict each other, expected dispatch_window_ms to be at most a "
          "tenth of lifetime_ms"},
         {"",
          "[claims]\nquorum = four\n",
@@ -157,11 +157,11 @@
          "r.ini:9:15: [claims] lifetime_ms: found '-1', expected a whole number from 10000 to 86400000 (ms)"},
         {"",
          "[claims]\nsettle_time_ms = 1000\n",
-         "r.ini:8: [claims]: found values that contradict each other, expected settle_time_ms must be longer than "
+         "r.ini:8: [claims]: found values that contradict each other, expected settle_time_ms to be longer than "
          "dispatch_window_ms"},
         {"",
          "[claims]\nclaim_timeout_ms = 3000\n",
-         "r.ini:8: [claims]: found values that contradict each other, expected claim_timeout_ms must be shorter than "
+         "r.ini:8: [claims]: found values that contradict each other, expected claim_timeout_ms to be shorter than "
          "dispatch_window_ms"},
         {"",
          "[claims]\nlife_time_ms = 10000\n",
