--- a/sequoiausher/coordination/claims/claimant.h
+++ b/sequoiausher/coordination/claims/claimant.h
@@ -97,7 +97,7 @@
     /** Handles a vote. Late votes, duplicates, and votes of instances that are no witnesses of the key are harmless. */
     void receive(Millis now, const InstanceId &from, const ClaimVote &vote, Outbox &outbox);
     /**
-     * Repeats requests, ends claims that timed out, and renews claims of running attempts. Call it whenever
+     * Repeats requests, ends claims that timed out, and renews claims of dispatched attempts. Call it whenever
      * now >= nextDeadline(). A late call ends an overdue claim even if more votes might arrive.
      */
     void tick(Millis now, Outbox &outbox);
@@ -147,7 +147,7 @@
     void finishAttempt(const RequestId &attempt);
 
     /** Whether this claimant has an active attempt of key; a retry can join that attempt without a claim. */
-    bool isRunning(const ClaimKey &key) const;
+    bool hasActiveAttempt(const ClaimKey &key) const;
     /** The number of attempts in memory, including those withdrawn recently. */
     std::size_t size() const;
 
