--- a/sequoiausher/coordination/rules/ruleaction.cpp
+++ b/sequoiausher/coordination/rules/ruleaction.cpp
@@ -65,11 +65,10 @@
     }
     refusal.status = static_cast<std::uint32_t>(status);
     if (mayRetry && !section.entry("then.retry_after_s")) {
-        section.report(*entry, "then.retry_after_s in the same rule, since callers may retry after 429 and 503");
+        section.report(*entry, "then.retry_after_s beside it: a refusal that may be tried again says when");
     }
     if (!mayRetry && section.entry("then.retry_after_s")) {
-        section.report(*section.entry("then.retry_after_s"),
-                       "no such key with 403 and 404, since a retry cannot succeed");
+        section.report(*section.entry("then.retry_after_s"), "none with 403 and 404: trying again is of no use");
     }
     return refusal;
 }
@@ -82,10 +81,10 @@
         const bool isRefusal = std::find(refusalKeys.begin(), refusalKeys.end(), entry.key) != refusalKeys.end();
         const bool isExperiment = entry.key == "then.experiment" || entry.key == "then.arm";
         if (refuses && entry.key.starts_with("then.") && !isRefusal && !isExperiment) {
-            section.report(entry, "no such key in a rule with then.refuse");
+            section.report(entry, "no such key beside then.refuse");
         }
         if (!refuses && isRefusal) {
-            section.report(entry, "then.refuse in the same rule");
+            section.report(entry, "then.refuse beside it");
         }
     }
 }
@@ -101,14 +100,14 @@
     const IniEntry *experiment = section.entry("then.experiment");
     const IniEntry *arm = section.entry("then.arm");
     if (experiment != nullptr && arm == nullptr) {
-        section.report(*experiment, "then.arm in the same rule");
+        section.report(*experiment, "then.arm beside it");
     }
     if (arm != nullptr && experiment == nullptr) {
-        section.report(*arm, "then.experiment in the same rule");
+        section.report(*arm, "then.experiment beside it");
     }
     const IniEntry *burst = section.entry("then.burst");
     if (burst != nullptr && section.entry("then.rate_per_second") == nullptr) {
-        section.report(*burst, "then.rate_per_second in the same rule");
+        section.report(*burst, "then.rate_per_second beside it");
     }
 }
 
--- a/sequoiausher/coordination/rules/rulelist.cpp
+++ b/sequoiausher/coordination/rules/rulelist.cpp
@@ -36,8 +36,8 @@
             }
             Problem problem = problemOf(list, list.rules[later], Severity::Warning);
             problem.found = "a rule that no request reaches, since [rule " + list.rules[earlier].name + "] in line "
-                + std::to_string(list.rules[earlier].line) + " matches all of them";
-            problem.expected = "this rule before that one";
+                + std::to_string(list.rules[earlier].line) + " takes all of them";
+            problem.expected = "it before that rule";
             addProblem(problems, std::move(problem));
             break;
         }
--- a/sequoiausher/coordination/rules/ruleset.cpp
+++ b/sequoiausher/coordination/rules/ruleset.cpp
@@ -84,8 +84,8 @@
                     Problem problem = problemOf(*this->fleet, rule, Severity::Warning);
                     problem.key = condition.key;
                     problem.found
-                        = "a rule that no request reaches, since the organisation's own rules match all of them";
-                    problem.expected = "this rule in the organisation's document";
+                        = "a rule that no request reaches, since the organisation's own rules take all of them";
+                    problem.expected = "it in the organisation's document";
                     addProblem(problems, std::move(problem));
                 }
             }
--- a/sequoiausher/coordination/rules/rulesettest.cpp
+++ b/sequoiausher/coordination/rules/rulesettest.cpp
@@ -214,7 +214,7 @@
          "3:24: [rule r] then.rate_per_second: found '1.5', expected a whole number from 1 to 1000000 (requests a "
          "second)"},
         {"then.pool = p\nthen.burst = 5",
-         "3:14: [rule r] then.burst: found '5', expected then.rate_per_second in the same rule"},
+         "3:14: [rule r] then.burst: found '5', expected then.rate_per_second beside it"},
         {"then.pool = p\nthen.queue_time_ms = soon",
          "3:22: [rule r] then.queue_time_ms: found 'soon', expected a whole number from 0 to 3600000 (ms)"},
         {"then.pool = p\nthen.retry = always",
@@ -229,20 +229,18 @@
          "3:14: [rule r] then.retry: found 'idempotent', expected none or safe, since then.claim = required runs each "
          "request at most once"},
         {"then.pool = p\nthen.experiment = e",
-         "3:19: [rule r] then.experiment: found 'e', expected then.arm in the same rule"},
-        {"then.pool = p\nthen.arm = a",
-         "3:12: [rule r] then.arm: found 'a', expected then.experiment in the same rule"},
+         "3:19: [rule r] then.experiment: found 'e', expected then.arm beside it"},
+        {"then.pool = p\nthen.arm = a", "3:12: [rule r] then.arm: found 'a', expected then.experiment beside it"},
         {"then.refuse = 500", "2:15: [rule r] then.refuse: found '500', expected a status: 403, 404, 429 or 503"},
         {"then.refuse = 429",
-         "2:15: [rule r] then.refuse: found '429', expected then.retry_after_s in the same rule, since callers may "
-         "retry after 429 and 503"},
+         "2:15: [rule r] then.refuse: found '429', expected then.retry_after_s beside it: a refusal that may be tried "
+         "again says when"},
         {"then.refuse = 403\nthen.retry_after_s = 5",
-         "3:22: [rule r] then.retry_after_s: found '5', expected no such key with 403 and 404, since a retry cannot "
-         "succeed"},
+         "3:22: [rule r] then.retry_after_s: found '5', expected none with 403 and 404: trying again is of no use"},
         {"then.refuse = 403\nthen.pool = p",
-         "3:13: [rule r] then.pool: found 'p', expected no such key in a rule with then.refuse"},
+         "3:13: [rule r] then.pool: found 'p', expected no such key beside then.refuse"},
         {"then.pool = p\nthen.refuse_text = no",
-         "3:20: [rule r] then.refuse_text: found 'no', expected then.refuse in the same rule"},
+         "3:20: [rule r] then.refuse_text: found 'no', expected then.refuse beside it"},
         {"then.pool = p\nwhen.class = urgnt",
          "3:14: [rule r] when.class: found 'urgnt', expected one of urgent, interactive, background; did you mean "
          "'urgent'?"},
