--- a/sequoiausher/coordination/gateway/holderchoice.h
+++ b/sequoiausher/coordination/gateway/holderchoice.h
@@ -15,7 +15,7 @@
 namespace Sequoiausher {
 
 /**
- * Chooses a usable holder below load.lowestBound with a probability proportional to its room below the bound. @return
+ * Chooses a usable holder below load.minimumBound with a probability proportional to its room below the bound. @return
  * its index in load; none where there is no room. Once the total room of all holders is small, also none with a
  * probability that grows as the room shrinks.
  * @param holders those that are not in load are skipped.
--- a/sequoiausher/coordination/gateway/requestquarantine.h
+++ b/sequoiausher/coordination/gateway/requestquarantine.h
@@ -8,7 +8,7 @@
 //     quarantine.recordLostConnection(fingerprint, target, sentAt, now);
 //     quarantine.recordTargetEnded(target, now);
 //     const std::optional<Millis> wait = quarantine.refusedFor(fingerprint, now);
-//     report.crashes = quarantine.reportFor(peer, NewsScope::All, now);
+//     report.crashes = quarantine.reportFor(peer, UpdateScope::All, now);
 
 #include "sequoiausher/base/identifiers.h"
 #include "sequoiausher/base/millis.h"
